--- a/Libraries/LibAccounting/Settlement.cpp
+++ b/Libraries/LibAccounting/Settlement.cpp
@@ -22,7 +22,7 @@
         weights.push_back(share.millionths);
         owned += share.millionths;
     }
-    weights.push_back(owned < WholeShare ? WholeShare - owned : 0);
+    weights.push_back(owned < FullShare ? FullShare - owned : 0);
     const auto parts = apportion(capacity, weights);
     std::vector<OwnedCapacity> owners;
     for (std::size_t n = 0; n < shares.size(); ++n)
--- a/Libraries/LibAccounting/Settlement.h
+++ b/Libraries/LibAccounting/Settlement.h
@@ -8,7 +8,7 @@
 namespace Accounting {
 
 /// Parts of a capacity are counted in millionths.
-constexpr std::uint64_t WholeShare = 1'000'000;
+constexpr std::uint64_t FullShare = 1'000'000;
 
 /// What one team owns of a group, in millionths.
 struct OwnedShare
--- a/Libraries/LibAdmission/RetryBudget.cpp
+++ b/Libraries/LibAdmission/RetryBudget.cpp
@@ -12,7 +12,7 @@
 
 RetryBudget::RetryBudget(const RetryBudgetSettings &settings)
     : m_perSuccess(static_cast<std::int64_t>(settings.share * WholeRetry))
-    , m_perNanosecond(settings.leastPerSecond * WholeRetry / static_cast<double>(Second.count()))
+    , m_perNanosecond(settings.minPerSecond * WholeRetry / static_cast<double>(Second.count()))
     , m_most(WholeRetry * settings.burst)
     , m_balance(m_most)
 { }
--- a/Libraries/LibAdmission/RetryBudget.h
+++ b/Libraries/LibAdmission/RetryBudget.h
@@ -13,7 +13,7 @@
     /// Retries for each recent success.
     double share = 0.1;
     /// Retries that are always allowed in a second, for groups with little traffic.
-    double leastPerSecond = 1;
+    double minPerSecond = 1;
     /// The most retries that unused budget adds up to.
     std::uint32_t burst = 20;
 };
--- a/Libraries/LibClaims/ClaimAttempt.cpp
+++ b/Libraries/LibClaims/ClaimAttempt.cpp
@@ -7,23 +7,23 @@
 namespace {
 
 using Core::ErrorKind;
-using Core::Fate;
+using Core::ExecutionStatus;
 
-Outcome refused(ErrorKind kind, Fate key)
+Outcome refused(ErrorKind kind, ExecutionStatus key)
 {
-    return {nullptr, false, kind, Fate::NotRun, key};
+    return {nullptr, false, kind, ExecutionStatus::NotRun, key};
 }
 
 Outcome replayedAnswer(const AnswerPointer &answer)
 {
-    return {answer, true, std::nullopt, Fate::NotRun, Fate::Run};
+    return {answer, true, std::nullopt, ExecutionStatus::NotRun, ExecutionStatus::Run};
 }
 
-Fate fateOf(HolderState state)
+ExecutionStatus fateOf(HolderState state)
 {
     if (state == HolderState::Finished)
-        return Fate::Run;
-    return state == HolderState::Running ? Fate::Running : Fate::Unknown;
+        return ExecutionStatus::Run;
+    return state == HolderState::Running ? ExecutionStatus::Running : ExecutionStatus::Unknown;
 }
 
 } // namespace
@@ -59,9 +59,9 @@
     }
     m_state = State::Asking;
     if (view->digest != m_call.digest || view->issuedAt != m_call.key.issuedAt)
-        return askFate(ErrorKind::KeyConflict, view->holding);
+        return askStatus(ErrorKind::KeyConflict, view->holding);
     if (view->state == KeyState::Closed)
-        return answer(refused(ErrorKind::KeyClosed, Fate::NotRun));
+        return answer(refused(ErrorKind::KeyClosed, ExecutionStatus::NotRun));
     m_knownRun = view->state == KeyState::Finished;
     return ask(*view->holding);
 }
@@ -70,10 +70,10 @@
 {
     if (m_state == State::Closing) {
         if (verdict.kind == VerdictKind::KeyClosed)
-            return answer(refused(m_refusal, Fate::NotRun));
+            return answer(refused(m_refusal, ExecutionStatus::NotRun));
         if (verdict.kind == VerdictKind::Expired)
-            return answer(refused(ErrorKind::KeyExpired, Fate::Unknown));
-        return askFate(m_refusal, verdict.holding);
+            return answer(refused(ErrorKind::KeyExpired, ExecutionStatus::Unknown));
+        return askStatus(m_refusal, verdict.holding);
     }
     if (m_state != State::Claiming)
         return {};
@@ -89,16 +89,16 @@
         m_knownRun = true;
         return ask(*verdict.holding);
     case VerdictKind::Conflict:
-        return askFate(ErrorKind::KeyConflict, verdict.holding);
+        return askStatus(ErrorKind::KeyConflict, verdict.holding);
     case VerdictKind::KeyClosed:
-        return answer(refused(ErrorKind::KeyClosed, Fate::NotRun));
+        return answer(refused(ErrorKind::KeyClosed, ExecutionStatus::NotRun));
     case VerdictKind::Expired:
-        return answer(refused(ErrorKind::KeyExpired, Fate::Unknown));
+        return answer(refused(ErrorKind::KeyExpired, ExecutionStatus::Unknown));
     case VerdictKind::InFuture:
         // A repeated append may bring the same claim again when its time has come.
         return giveUp(ErrorKind::IssueTimeInFuture);
     case VerdictKind::Dead:
-        return answer(refused(ErrorKind::LogUnavailable, Fate::Unknown));
+        return answer(refused(ErrorKind::LogUnavailable, ExecutionStatus::Unknown));
     case VerdictKind::Uncertain:
         return giveUp(ErrorKind::KeyOutcomeUnknown);
     }
@@ -110,18 +110,18 @@
 {
     if (m_state != State::Asking)
         return {};
-    if (m_fateOnly)
+    if (m_statusOnly)
         return onFateReply(reply.state, now);
     switch (reply.state) {
     case HolderState::Finished:
         if (reply.answer)
             return answer(replayedAnswer(reply.answer));
-        return answer(refused(ErrorKind::AnswerNotKept, Fate::Run));
+        return answer(refused(ErrorKind::AnswerNotKept, ExecutionStatus::Run));
     case HolderState::Running:
-        return waitOrAnswer(refused(ErrorKind::KeyInProgress, Fate::Running), now);
+        return waitOrAnswer(refused(ErrorKind::KeyInProgress, ExecutionStatus::Running), now);
     case HolderState::Deciding:
     case HolderState::GivenUp:
-        return waitOrAnswer(refused(ErrorKind::KeyInProgress, Fate::Unknown), now);
+        return waitOrAnswer(refused(ErrorKind::KeyInProgress, ExecutionStatus::Unknown), now);
     case HolderState::Unreachable:
         return waitOrAnswer(holderSilent(), now);
     case HolderState::OutcomeLost:
@@ -138,9 +138,11 @@
     if (result.state == SendState::NotSent)
         return closeKey(result.error, now);
     if (result.state == SendState::OutcomeLost)
-        return answer({nullptr, false, result.error, Fate::Unknown, Fate::Unknown});
+        return answer(
+            {nullptr, false, result.error, ExecutionStatus::Unknown, ExecutionStatus::Unknown});
     Steps steps {AppendStep {RecordKind::Finished, m_id}};
-    const auto last = answer({result.answer, false, std::nullopt, Fate::Run, Fate::Run});
+    const auto last =
+        answer({result.answer, false, std::nullopt, ExecutionStatus::Run, ExecutionStatus::Run});
     steps.insert(steps.end(), last.begin(), last.end());
     return steps;
 }
@@ -154,11 +156,12 @@
     case State::Claiming:
         return giveUp(ErrorKind::LogUnavailable);
     case State::Closing:
-        return answer(refused(m_refusal, Fate::Unknown));
+        return answer(refused(m_refusal, ExecutionStatus::Unknown));
     case State::Waiting:
-        return m_fateOnly ? askFate(*m_fateOnly, currentHolding()) : enter(now);
+        return m_statusOnly ? askStatus(*m_statusOnly, currentHolding()) : enter(now);
     case State::Asking:
-        return answer(m_fateOnly ? refused(*m_fateOnly, Fate::Unknown) : holderSilent());
+        return answer(m_statusOnly ? refused(*m_statusOnly, ExecutionStatus::Unknown)
+                                   : holderSilent());
     case State::Sending:
     case State::Done:
         return {};
@@ -190,17 +193,18 @@
 }
 
 // The call is refused whatever the holder says; only the key's fate is asked for.
-ClaimAttempt::Steps ClaimAttempt::askFate(ErrorKind refusal, const std::optional<Holding> &holding)
+ClaimAttempt::Steps ClaimAttempt::askStatus(ErrorKind refusal,
+                                            const std::optional<Holding> &holding)
 {
     if (!holding)
-        return answer(refused(refusal, Fate::Unknown));
-    m_fateOnly = refusal;
+        return answer(refused(refusal, ExecutionStatus::Unknown));
+    m_statusOnly = refusal;
     return ask(*holding);
 }
 
 ClaimAttempt::Steps ClaimAttempt::onFateReply(HolderState state, Core::Clock::Monotonic now)
 {
-    const auto outcome = refused(*m_fateOnly, fateOf(state));
+    const auto outcome = refused(*m_statusOnly, fateOf(state));
     const bool mayTell = state == HolderState::Deciding || state == HolderState::Unreachable;
     return mayTell ? waitOrAnswer(outcome, now) : answer(outcome);
 }
@@ -214,7 +218,7 @@
 ClaimAttempt::Steps ClaimAttempt::giveUp(ErrorKind refusal)
 {
     Steps steps {AppendStep {RecordKind::Void, m_id}};
-    const auto last = answer(refused(refusal, Fate::Unknown));
+    const auto last = answer(refused(refusal, ExecutionStatus::Unknown));
     steps.insert(steps.end(), last.begin(), last.end());
     return steps;
 }
@@ -247,8 +251,8 @@
 Outcome ClaimAttempt::holderSilent() const
 {
     if (m_knownRun)
-        return refused(ErrorKind::AnswerNotKept, Fate::Run);
-    return refused(ErrorKind::KeyOutcomeUnknown, Fate::Unknown);
+        return refused(ErrorKind::AnswerNotKept, ExecutionStatus::Run);
+    return refused(ErrorKind::KeyOutcomeUnknown, ExecutionStatus::Unknown);
 }
 
 } // namespace Claims
--- a/Libraries/LibClaims/ClaimAttempt.h
+++ b/Libraries/LibClaims/ClaimAttempt.h
@@ -87,7 +87,7 @@
 
     Steps enter(Core::Clock::Monotonic now);
     Steps ask(const Holding &holding);
-    Steps askFate(Core::ErrorKind refusal, const std::optional<Holding> &holding);
+    Steps askStatus(Core::ErrorKind refusal, const std::optional<Holding> &holding);
     Steps onFateReply(HolderState state, Core::Clock::Monotonic now);
     std::optional<Holding> currentHolding() const;
     Steps giveUp(Core::ErrorKind refusal);
@@ -108,7 +108,7 @@
     Core::Clock::Monotonic m_wakeAt {};
     bool m_knownRun = false;
     /// Set when the holder is asked for the key's fate alone.
-    std::optional<Core::ErrorKind> m_fateOnly;
+    std::optional<Core::ErrorKind> m_statusOnly;
     Core::ErrorKind m_refusal = Core::ErrorKind::UpstreamUnreachable;
 };
 
--- a/Libraries/LibClaims/ClaimCoordinator.cpp
+++ b/Libraries/LibClaims/ClaimCoordinator.cpp
@@ -64,7 +64,7 @@
 {
     for (std::size_t n = 0; n < m_engine.partitionCount(); ++n)
         spawn(m_executor, readPartition(n));
-    spawn(m_timerStrand, keepTime());
+    spawn(m_timerStrand, runTimers());
 }
 
 void ClaimCoordinator::stop()
@@ -89,10 +89,10 @@
     co_return co_await mailbox->async_receive(Asio::use_awaitable);
 }
 
-Core::Error ClaimCoordinator::doorRefusal(Core::ErrorKind kind, const ClaimKey &key) const
+Core::Error ClaimCoordinator::earlyRejection(Core::ErrorKind kind, const ClaimKey &key) const
 {
     std::scoped_lock lock(m_engineMutex);
-    return m_engine.doorRefusal(kind, key);
+    return m_engine.earlyRejection(kind, key);
 }
 
 HolderReply ClaimCoordinator::replyTo(const HolderQuery &query) const
@@ -164,7 +164,7 @@
     co_return true;
 }
 
-Asio::awaitable<void> ClaimCoordinator::keepTime()
+Asio::awaitable<void> ClaimCoordinator::runTimers()
 {
     while (!m_stopping) {
         m_timer.expires_after(armTimer());
@@ -278,7 +278,7 @@
     mailbox->try_send(boost::system::error_code {}, std::move(action.outcome));
 }
 
-// Posted to the timer's strand, where keepTime() then computes its deadline anew.
+// Posted to the timer's strand, where runTimers() then computes its deadline anew.
 void ClaimCoordinator::wakeTimer()
 {
     Asio::post(m_timerStrand, [self = shared_from_this()] { self->m_timer.cancel(); });
--- a/Libraries/LibClaims/ClaimCoordinator.h
+++ b/Libraries/LibClaims/ClaimCoordinator.h
@@ -50,7 +50,7 @@
     /// Costs an append: for refusals that a resend of the same key could not change.
     boost::asio::awaitable<Outcome> refuseForGood(Call call, Core::ErrorKind refusal);
     /// The error for a call refused at the door, with the truth about the key.
-    Core::Error doorRefusal(Core::ErrorKind kind, const ClaimKey &key) const;
+    Core::Error earlyRejection(Core::ErrorKind kind, const ClaimKey &key) const;
     /// What a sibling that asks is told.
     HolderReply replyTo(const HolderQuery &query) const;
     /// Takes an upstream's answer that came after its outcome was given up as lost.
@@ -80,7 +80,7 @@
     std::shared_ptr<Mailbox> registerCall(CallId id, SendOnce sendOnce);
     boost::asio::awaitable<void> readPartition(std::size_t partition);
     boost::asio::awaitable<bool> readOnce(std::size_t partition);
-    boost::asio::awaitable<void> keepTime();
+    boost::asio::awaitable<void> runTimers();
     boost::asio::awaitable<void> append(AppendBatch batch);
     boost::asio::awaitable<void> ask(AskAction action);
     boost::asio::awaitable<void> send(CallId id, SendOnce sendOnce);
--- a/Libraries/LibClaims/ClaimEngine.cpp
+++ b/Libraries/LibClaims/ClaimEngine.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using Core::ErrorKind;
-using Core::Fate;
+using Core::ExecutionStatus;
 
 constexpr std::chrono::seconds AnswerExpiryInterval {30};
 
@@ -28,7 +28,7 @@
 ClaimActions ClaimEngine::begin(CallId call, const Call &request)
 {
     ClaimActions actions;
-    if (refuseAtDoor(call, request, actions))
+    if (rejectEarly(call, request, actions))
         return finish(std::move(actions));
     carryOut(call, addAttempt(call, request).start(m_clock.now()), actions);
     return finish(std::move(actions));
@@ -37,7 +37,7 @@
 ClaimActions ClaimEngine::beginClose(CallId call, const Call &request, ErrorKind refusal)
 {
     ClaimActions actions;
-    if (refuseAtDoor(call, request, actions))
+    if (rejectEarly(call, request, actions))
         return finish(std::move(actions));
     carryOut(call, addAttempt(call, request).startClose(refusal, m_clock.now()), actions);
     return finish(std::move(actions));
@@ -162,26 +162,27 @@
     return {HolderState::Gone, nullptr};
 }
 
-Fate ClaimEngine::keyFate(const ClaimKey &key) const
+ExecutionStatus ClaimEngine::keyExecutionStatus(const ClaimKey &key) const
 {
     const auto view = m_partitions[partitionOf(key)].index().find(key);
     if (!view || !view->certain)
-        return Fate::Unknown;
+        return ExecutionStatus::Unknown;
     if (view->state == KeyState::Finished)
-        return Fate::Run;
+        return ExecutionStatus::Run;
     if (view->state == KeyState::Closed)
-        return Fate::NotRun;
+        return ExecutionStatus::NotRun;
     if (view->state == KeyState::Free)
-        return Fate::Unknown;
+        return ExecutionStatus::Unknown;
     const auto reply = m_answers.find(view->holding->attempt);
     if (reply && reply->state == HolderState::Finished)
-        return Fate::Run;
-    return reply && reply->state == HolderState::Running ? Fate::Running : Fate::Unknown;
+        return ExecutionStatus::Run;
+    return reply && reply->state == HolderState::Running ? ExecutionStatus::Running
+                                                         : ExecutionStatus::Unknown;
 }
 
-Core::Error ClaimEngine::doorRefusal(ErrorKind kind, const ClaimKey &key) const
+Core::Error ClaimEngine::earlyRejection(ErrorKind kind, const ClaimKey &key) const
 {
-    return {kind, {}, Fate::NotRun, keyFate(key)};
+    return {kind, {}, ExecutionStatus::NotRun, keyExecutionStatus(key)};
 }
 
 std::size_t ClaimEngine::partitionOf(const ClaimKey &key) const
@@ -205,7 +206,7 @@
     return streamName(m_settings.environment, partition, m_partitions.size());
 }
 
-bool ClaimEngine::refuseAtDoor(CallId call, const Call &request, ClaimActions &actions)
+bool ClaimEngine::rejectEarly(CallId call, const Call &request, ClaimActions &actions)
 {
     auto refusal = m_settings.window.check(request.key, m_clock.wallNow());
     const auto &index = m_partitions[partitionOf(request.key)].index();
@@ -213,7 +214,9 @@
     if (!refusal && !index.find(request.key) && !index.isCertain(request.key.issuedAt))
         refusal = ErrorKind::KeyOutcomeUnknown;
     if (refusal)
-        answer(call, {nullptr, false, refusal, Fate::NotRun, keyFate(request.key)}, actions);
+        answer(call,
+               {nullptr, false, refusal, ExecutionStatus::NotRun, keyExecutionStatus(request.key)},
+               actions);
     return refusal.has_value();
 }
 
@@ -284,15 +287,15 @@
     const auto it = m_calls.find(call);
     if (it != m_calls.end()) {
         // The log may by now say more than the attempt learned.
-        if (outcome.key == Fate::Unknown)
-            outcome.key = keyFate(it->second->call().key);
-        if (outcome.error == ErrorKind::KeyOutcomeUnknown && outcome.key == Fate::Run)
+        if (outcome.key == ExecutionStatus::Unknown)
+            outcome.key = keyExecutionStatus(it->second->call().key);
+        if (outcome.error == ErrorKind::KeyOutcomeUnknown && outcome.key == ExecutionStatus::Run)
             outcome.error = ErrorKind::AnswerNotKept;
         m_callOf.erase(it->second->id());
         m_calls.erase(it);
     }
     ++m_counters.outcomes;
-    m_counters.unknownKeys += outcome.key == Fate::Unknown ? 1 : 0;
+    m_counters.unknownKeys += outcome.key == ExecutionStatus::Unknown ? 1 : 0;
     actions.emplace_back(AnswerAction {call, std::move(outcome)});
 }
 
--- a/Libraries/LibClaims/ClaimEngine.h
+++ b/Libraries/LibClaims/ClaimEngine.h
@@ -73,10 +73,10 @@
     /// What this instance knows of its own attempt, for a sibling that lost against it.
     HolderReply replyTo(const HolderQuery &query) const;
     /// What can truthfully be said of a key without waiting for anybody.
-    Core::Fate keyFate(const ClaimKey &key) const;
+    Core::ExecutionStatus keyExecutionStatus(const ClaimKey &key) const;
     /// The error for a call that is refused at the door (overload, drain, log out, not ready,
     /// expired key): this attempt did not run, and the key's fate is what the log shows.
-    Core::Error doorRefusal(Core::ErrorKind kind, const ClaimKey &key) const;
+    Core::Error earlyRejection(Core::ErrorKind kind, const ClaimKey &key) const;
 
     std::size_t partitionOf(const ClaimKey &key) const;
     std::size_t partitionCount() const { return m_partitions.size(); }
@@ -99,7 +99,7 @@
 private:
     using Attempt = std::unique_ptr<ClaimAttempt>;
 
-    bool refuseAtDoor(CallId call, const Call &request, ClaimActions &actions);
+    bool rejectEarly(CallId call, const Call &request, ClaimActions &actions);
     ClaimAttempt &addAttempt(CallId call, const Call &request);
     void carryOut(CallId call, const ClaimAttempt::Steps &steps, ClaimActions &actions);
     void append(CallId call, const AppendStep &step);
--- a/Libraries/LibClaims/Outcome.h
+++ b/Libraries/LibClaims/Outcome.h
@@ -2,7 +2,7 @@
 
 #include <LibClaims/ClaimRecord.h>
 #include <LibCore/ErrorKind.h>
-#include <LibCore/Fate.h>
+#include <LibCore/ExecutionStatus.h>
 
 #include <memory>
 #include <optional>
@@ -46,8 +46,8 @@
     /// Whether the answer is that of an earlier attempt.
     bool replayed = false;
     std::optional<Core::ErrorKind> error;
-    Core::Fate attempt = Core::Fate::Unknown;
-    Core::Fate key = Core::Fate::Unknown;
+    Core::ExecutionStatus attempt = Core::ExecutionStatus::Unknown;
+    Core::ExecutionStatus key = Core::ExecutionStatus::Unknown;
 };
 
 /// One non-repeatable call.
--- a/Libraries/LibCore/Error.cpp
+++ b/Libraries/LibCore/Error.cpp
@@ -21,7 +21,8 @@
     : Error(kind, detail, errorKindRow(kind).attempt, std::nullopt)
 { }
 
-Error::Error(ErrorKind kind, const std::string &detail, Fate attempt, std::optional<Fate> key)
+Error::Error(ErrorKind kind, const std::string &detail, ExecutionStatus attempt,
+             std::optional<ExecutionStatus> key)
     : std::runtime_error(describe(kind, detail))
     , m_kind(kind)
     , m_detail(detail)
@@ -29,9 +30,9 @@
     , m_key(key)
 { }
 
-Error afterOtherAttempts(const Error &last, Fate earlier)
+Error afterOtherAttempts(const Error &last, ExecutionStatus earlier)
 {
-    if (last.attempt() != Fate::NotRun || earlier == Fate::NotRun)
+    if (last.attempt() != ExecutionStatus::NotRun || earlier == ExecutionStatus::NotRun)
         return last;
     return Error(last.kind(), last.detail(), earlier, last.key());
 }
@@ -42,9 +43,9 @@
     boost::json::object fields;
     fields["kind"] = row.name;
     fields["message"] = error.detail().empty() ? row.meaning : std::string_view(error.detail());
-    fields["attempt"] = fateName(error.attempt());
+    fields["attempt"] = executionStatusName(error.attempt());
     if (error.key())
-        fields["key"] = fateName(*error.key());
+        fields["key"] = executionStatusName(*error.key());
     return boost::json::serialize(boost::json::object {{"error", std::move(fields)}});
 }
 
--- a/Libraries/LibCore/Error.h
+++ b/Libraries/LibCore/Error.h
@@ -16,24 +16,25 @@
     /// An error whose attempt fate is the table's.
     explicit Error(ErrorKind kind, const std::string &detail = {});
     /// An error whose fates the raising place knows.
-    Error(ErrorKind kind, const std::string &detail, Fate attempt, std::optional<Fate> key);
+    Error(ErrorKind kind, const std::string &detail, ExecutionStatus attempt,
+          std::optional<ExecutionStatus> key);
 
     ErrorKind kind() const { return m_kind; }
     const std::string &detail() const { return m_detail; }
-    Fate attempt() const { return m_attempt; }
+    ExecutionStatus attempt() const { return m_attempt; }
     /// What is known of the idempotency key over all instances; empty for a call without one.
-    std::optional<Fate> key() const { return m_key; }
+    std::optional<ExecutionStatus> key() const { return m_key; }
 
 private:
     ErrorKind m_kind;
     std::string m_detail;
-    Fate m_attempt;
-    std::optional<Fate> m_key;
+    ExecutionStatus m_attempt;
+    std::optional<ExecutionStatus> m_key;
 };
 
 /// The error of a request's last attempt, when earlier ones may have run: an attempt that did not
 /// run says nothing of those before it.
-Error afterOtherAttempts(const Error &last, Fate earlier);
+Error afterOtherAttempts(const Error &last, ExecutionStatus earlier);
 
 /// The JSON body callers receive: {"error":{"kind","message","attempt","key"}}.
 std::string errorBody(const Error &error);
--- a/Libraries/LibCore/ErrorKind.h
+++ b/Libraries/LibCore/ErrorKind.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibCore/Fate.h>
+#include <LibCore/ExecutionStatus.h>
 
 #include <chrono>
 #include <optional>
@@ -39,7 +39,7 @@
     UpstreamUnreachable,
     UpstreamFailed,
     UpstreamTimedOut,
-    UpstreamGarbage,
+    UpstreamAnswerMalformed,
     StreamInterrupted,
     PoisonRequest,
     ConfigurationInvalid,
@@ -60,7 +60,7 @@
     std::string_view name;
     unsigned httpStatus;
     /// What became of the attempt, unless the place that raises the error knows better.
-    Fate attempt;
+    ExecutionStatus attempt;
     std::optional<std::chrono::seconds> retryAfter;
     std::string_view meaning;
 };
--- a/Libraries/LibCore/EventLog.cpp
+++ b/Libraries/LibCore/EventLog.cpp
@@ -1,6 +1,6 @@
 #include <LibCore/EventLog.h>
-#include <LibCore/LineAllowance.h>
 #include <LibCore/LineWriter.h>
+#include <LibCore/LogRateLimiter.h>
 
 #include <boost/json.hpp>
 #include <easylogging++.h>
@@ -38,7 +38,7 @@
     bool admit(EventLevel level, Clock::Monotonic now)
     {
         const std::scoped_lock lock(m_mutex);
-        return m_allowance.admit(level, now);
+        return m_rateLimiter.admit(level, now);
     }
 
     void write(std::string_view line, bool isImportant)
@@ -54,12 +54,12 @@
         if (now - m_said < LeftOutInterval)
             return 0;
         m_said = now;
-        return m_allowance.takeLeftOut() + m_writer.takeLeftOut();
+        return m_rateLimiter.takeLeftOut() + m_writer.takeLeftOut();
     }
 
 private:
     std::mutex m_mutex;
-    LineAllowance m_allowance;
+    LogRateLimiter m_rateLimiter;
     LineWriter m_writer {STDOUT_FILENO, PendingBytes};
     Clock::Monotonic m_said;
 };
--- a/Libraries/LibCore/Fate.h
+++ b/Libraries/LibCore/ExecutionStatus.h
@@ -5,7 +5,7 @@
 namespace Core {
 
 /// What became of one attempt, or what is known of one idempotency key.
-enum class Fate {
+enum class ExecutionStatus {
     NotRun,
     Running,
     Run,
@@ -13,6 +13,6 @@
 };
 
 /// The name callers see: "not_run", "running", "run" or "unknown".
-std::string_view fateName(Fate fate);
+std::string_view executionStatusName(ExecutionStatus status);
 
 } // namespace Core
--- a/Libraries/LibCore/Forward.h
+++ b/Libraries/LibCore/Forward.h
@@ -10,6 +10,6 @@
 struct EventField;
 enum class ErrorKind : unsigned;
 enum class EventId : unsigned;
-enum class Fate;
+enum class ExecutionStatus;
 
 } // namespace Core
--- a/Libraries/LibCore/LineAllowance.cpp
+++ b/Libraries/LibCore/LogRateLimiter.cpp
@@ -1,11 +1,11 @@
-#include <LibCore/LineAllowance.h>
+#include <LibCore/LogRateLimiter.h>
 
 #include <algorithm>
 #include <utility>
 
 namespace Core {
 
-bool LineAllowance::admit(EventLevel level, Clock::Monotonic now)
+bool LogRateLimiter::admit(EventLevel level, Clock::Monotonic now)
 {
     if (level == EventLevel::Warning || level == EventLevel::Error)
         return true;
@@ -22,7 +22,7 @@
     return true;
 }
 
-std::uint64_t LineAllowance::takeLeftOut()
+std::uint64_t LogRateLimiter::takeLeftOut()
 {
     return std::exchange(m_leftOut, 0);
 }
--- a/Libraries/LibCore/LineAllowance.h
+++ b/Libraries/LibCore/LogRateLimiter.h
@@ -9,7 +9,7 @@
 
 /// Bounds the lines a second below warning, so that a flood of refusals does not become a flood of
 /// log work. Warnings and errors always pass.
-class LineAllowance
+class LogRateLimiter
 {
 public:
     /// Lines a second that pass in the long run, and at once after a quiet time.
--- a/Libraries/LibGateway/RequestRelay.cpp
+++ b/Libraries/LibGateway/RequestRelay.cpp
@@ -325,7 +325,8 @@
                        {{"upstream", m_plan->upstream->report().id.value()},
                         {"request", m_request.caller.attemptId},
                         {"answered", head.attemptId}});
-        co_return noteBroken(Core::Error(Core::ErrorKind::UpstreamGarbage, "another's answer"));
+        co_return noteBroken(
+            Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "another's answer"));
     }
     std::optional<Core::Error> failure;
     try {
@@ -343,7 +344,7 @@
         auto headers = Http::withoutConnectionFields(answer.headers());
         const bool isSuccess = answer.status() < 300;
         if (!head.isSealed)
-            co_return noteBroken(Core::Error(Core::ErrorKind::UpstreamGarbage, "no seal"));
+            co_return noteBroken(Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "no seal"));
         if (isSuccess && m_request.route->kind == RequestKind::Stream)
             co_return co_await relayStream(answer, std::move(headers), load);
         co_return co_await relayWhole(answer, std::move(headers));
@@ -392,7 +393,8 @@
     while (auto piece = co_await answer.readSome()) {
         response.body += *piece;
         if (response.body.size() > AnswerLimitBytes)
-            co_return noteBroken(Core::Error(Core::ErrorKind::UpstreamGarbage, "too large"));
+            co_return noteBroken(
+                Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "too large"));
     }
     if (response.status >= 500) {
         noteAttempt("failed", std::to_string(response.status));
--- a/Libraries/LibHttp/Client.cpp
+++ b/Libraries/LibHttp/Client.cpp
@@ -80,7 +80,7 @@
         return Core::Error(Core::ErrorKind::UpstreamTimedOut);
     if (ec.category() == make_error_code(http::error::bad_chunk).category()
         && ec != http::error::end_of_stream && ec != http::error::partial_message)
-        return Core::Error(Core::ErrorKind::UpstreamGarbage, ec.message());
+        return Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, ec.message());
     // The system gave up on bytes that were not acknowledged (SendOptions::unacknowledged).
     if (ec == asio::error::timed_out)
         return Core::Error(Core::ErrorKind::UpstreamTimedOut, ec.message());
@@ -312,7 +312,7 @@
             || (options.maySend && !options.maySend()))
             throw Core::Error(Core::ErrorKind::UpstreamUnreachable, "withdrawn before sending");
     };
-    if (auto kept = options.use == ConnectionUse::KeptOrNew ? m_shared->take(key) : nullptr) {
+    if (auto kept = options.use == ConnectionUse::PooledOrNew ? m_shared->take(key) : nullptr) {
         ensureMaySend();
         bindAbort(options, kept);
         auto exchange = std::make_unique<PooledExchange>(m_shared, key, std::move(kept), timeouts);
@@ -343,7 +343,7 @@
     while (auto piece = co_await exchange->readSome()) {
         response.body += *piece;
         if (response.body.size() > bodyLimit)
-            throw Core::Error(Core::ErrorKind::UpstreamGarbage, "the answer is too large");
+            throw Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "the answer is too large");
     }
     co_return response;
 }
--- a/Libraries/LibHttp/Client.h
+++ b/Libraries/LibHttp/Client.h
@@ -26,7 +26,7 @@
 /// closed by the server just as the request is sent, which leaves it open whether the request ran,
 /// so calls that may not be repeated ask for a new one.
 enum class ConnectionUse {
-    KeptOrNew,
+    PooledOrNew,
     New,
 };
 
@@ -48,7 +48,7 @@
 /// How one request is sent.
 struct SendOptions
 {
-    ConnectionUse use = ConnectionUse::KeptOrNew;
+    ConnectionUse use = ConnectionUse::PooledOrNew;
     /// Whether the request may go out again on a new connection when a kept one broke before an
     /// answer. The server may have begun to work on it.
     bool mayRepeat = true;
@@ -71,20 +71,21 @@
 
     /// Sends the request and returns once the head of the answer is there. Throws
     /// Error(UpstreamUnreachable) when nothing was sent, UpstreamFailed or UpstreamTimedOut when
-    /// the request was sent and no answer came, and UpstreamGarbage for an answer that is not HTTP.
+    /// the request was sent and no answer came, and UpstreamAnswerMalformed for an answer that is
+    /// not HTTP.
     boost::asio::awaitable<std::unique_ptr<ClientExchange>>
     open(Endpoint endpoint, Request request, ClientTimeouts timeouts,
-         ConnectionUse use = ConnectionUse::KeptOrNew);
+         ConnectionUse use = ConnectionUse::PooledOrNew);
 
     /// The same with more to say about how the request is sent.
     boost::asio::awaitable<std::unique_ptr<ClientExchange>>
     open(Endpoint endpoint, Request request, ClientTimeouts timeouts, SendOptions options);
 
-    /// open() and the whole body, up to the given size (UpstreamGarbage beyond it).
+    /// open() and the whole body, up to the given size (UpstreamAnswerMalformed beyond it).
     boost::asio::awaitable<Response> fetch(Endpoint endpoint, Request request,
                                            ClientTimeouts timeouts,
                                            std::size_t bodyLimit = DefaultBodyLimit,
-                                           ConnectionUse use = ConnectionUse::KeptOrNew);
+                                           ConnectionUse use = ConnectionUse::PooledOrNew);
 
     static constexpr std::size_t DefaultBodyLimit = 64 * 1024 * 1024;
 
--- a/Libraries/LibHttp/ClientExchange.h
+++ b/Libraries/LibHttp/ClientExchange.h
@@ -21,7 +21,7 @@
     virtual const Headers &headers() const = 0;
     /// The next piece of the body as it comes, or nothing at its proper end. Throws
     /// Error(UpstreamFailed) when the connection breaks before it, UpstreamTimedOut when nothing
-    /// comes in time, UpstreamGarbage for broken chunking.
+    /// comes in time, UpstreamAnswerMalformed for broken chunking.
     virtual boost::asio::awaitable<std::optional<std::string>> readSome() = 0;
     /// Changes how long readSome() waits for the next piece.
     virtual void setBodyTimeout(std::chrono::milliseconds limit) = 0;
--- a/Libraries/LibHttp/EventStreamParser.cpp
+++ b/Libraries/LibHttp/EventStreamParser.cpp
@@ -49,7 +49,8 @@
     m_position = 0;
     m_pending += bytes;
     if (m_pending.size() > EventLimitBytes && !findBoundary(m_pending))
-        throw Core::Error(Core::ErrorKind::UpstreamGarbage, "an event of the stream is too large");
+        throw Core::Error(Core::ErrorKind::UpstreamAnswerMalformed,
+                          "an event of the stream is too large");
 }
 
 std::optional<ServerSentEvent> EventStreamParser::next()
--- a/Libraries/LibHttp/EventStreamParser.h
+++ b/Libraries/LibHttp/EventStreamParser.h
@@ -19,7 +19,7 @@
 class EventStreamParser
 {
 public:
-    /// Adds bytes. Throws Error(UpstreamGarbage) when one event exceeds the size limit.
+    /// Adds bytes. Throws Error(UpstreamAnswerMalformed) when one event exceeds the size limit.
     void feed(std::string_view bytes);
     /// The next whole event, if there is one.
     std::optional<ServerSentEvent> next();
--- a/Libraries/LibRouter/CompletionAttempt.cpp
+++ b/Libraries/LibRouter/CompletionAttempt.cpp
@@ -77,12 +77,13 @@
     const bool hasToken = !chunk.text().empty();
     const auto index = chunk.tokenIndex().value_or(progress.tokens);
     if (progress.isComplete && hasToken)
-        throw Core::Error(Core::ErrorKind::UpstreamGarbage, "a token after the answer's end");
+        throw Core::Error(Core::ErrorKind::UpstreamAnswerMalformed,
+                          "a token after the answer's end");
     // An engine that resumes from an earlier token than asked repeats what the caller has.
     if (hasToken && index < progress.tokens)
         co_return;
     if (index > progress.tokens)
-        throw Core::Error(Core::ErrorKind::UpstreamGarbage, "a gap in the stream");
+        throw Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "a gap in the stream");
     if (hasToken && !std::exchange(m_hasToken, true) && m_options.firstToken)
         m_options.firstToken();
     if (hasToken) {
--- a/Libraries/LibRouter/CompletionChunk.cpp
+++ b/Libraries/LibRouter/CompletionChunk.cpp
@@ -10,7 +10,7 @@
 
 Core::Error garbage(const std::string &detail)
 {
-    return Core::Error(Core::ErrorKind::UpstreamGarbage, detail);
+    return Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, detail);
 }
 
 std::optional<std::uint64_t> numberAt(const json::object &fields, std::string_view name)
--- a/Libraries/LibRouter/CompletionChunk.h
+++ b/Libraries/LibRouter/CompletionChunk.h
@@ -15,8 +15,8 @@
 class CompletionChunk
 {
 public:
-    /// Reads the event's data. Fails with UpstreamGarbage when it is not a chunk, or when it
-    /// answers another request than the one named.
+    /// Reads the event's data. Fails with UpstreamAnswerMalformed when it is not a chunk, or when
+    /// it answers another request than the one named.
     static Core::Result<CompletionChunk> parse(std::string_view data, std::string_view requestId);
 
     /// The position of the chunk's token in the answer, when the engine says it.
--- a/Libraries/LibRouter/CompletionRelay.cpp
+++ b/Libraries/LibRouter/CompletionRelay.cpp
@@ -17,7 +17,7 @@
     case Core::ErrorKind::UpstreamUnreachable:
     case Core::ErrorKind::UpstreamFailed:
     case Core::ErrorKind::UpstreamTimedOut:
-    case Core::ErrorKind::UpstreamGarbage:
+    case Core::ErrorKind::UpstreamAnswerMalformed:
     case Core::ErrorKind::Overloaded:
         return true;
     default:
@@ -116,7 +116,8 @@
     const auto suspicion = m_instance.suspects().check(m_call.digest());
     m_isSuspect = suspicion != Admission::SuspectVerdict::Clear;
     if (suspicion == Admission::SuspectVerdict::Poison) {
-        m_lastError = Core::Error(Core::ErrorKind::PoisonRequest, {}, Core::Fate::Unknown, {});
+        m_lastError =
+            Core::Error(Core::ErrorKind::PoisonRequest, {}, Core::ExecutionStatus::Unknown, {});
         return false;
     }
     auto &budget = m_instance.retryBudget(m_model.upstreamGroup);
--- a/Libraries/LibRouter/Instance.cpp
+++ b/Libraries/LibRouter/Instance.cpp
@@ -37,7 +37,7 @@
         const auto document = configuration().document;
         if (const auto *rules = document ? document->upstreamGroup(group.value()) : nullptr) {
             settings.share = rules->retryBudget.value();
-            settings.leastPerSecond = rules->retriesPerSecond;
+            settings.minPerSecond = rules->retriesPerSecond;
         }
         budget = std::make_unique<Admission::RetryBudget>(settings);
     }
--- a/Libraries/LibRouter/RequestRouter.cpp
+++ b/Libraries/LibRouter/RequestRouter.cpp
@@ -17,11 +17,12 @@
 }
 
 /// A refusal of a keyed call that never got as far as the claims can say nothing of the key.
-Core::Error withKeyFate(const Core::Error &error, const Http::Request &request)
+Core::Error withKeyExecutionStatus(const Core::Error &error, const Http::Request &request)
 {
     if (error.key() || !request.headers.find("Idempotency-Key"))
         return error;
-    return Core::Error(error.kind(), error.detail(), error.attempt(), Core::Fate::Unknown);
+    return Core::Error(error.kind(), error.detail(), error.attempt(),
+                       Core::ExecutionStatus::Unknown);
 }
 
 } // namespace
@@ -36,7 +37,7 @@
     try {
         co_await route(exchange);
     } catch (const Core::Error &error) {
-        refusal = withKeyFate(error, exchange.request());
+        refusal = withKeyExecutionStatus(error, exchange.request());
     }
     if (!refusal)
         co_return;
--- a/Libraries/LibRouter/ServiceRelay.cpp
+++ b/Libraries/LibRouter/ServiceRelay.cpp
@@ -99,7 +99,7 @@
             break;
         try {
             auto response = co_await sendServiceCall(m_instance, m_call, upstream,
-                                                     Http::ConnectionUse::KeptOrNew);
+                                                     Http::ConnectionUse::PooledOrNew);
             budget.noteSuccess();
             response.headers = forwarded(response.headers);
             co_await m_exchange.respond(std::move(response));
@@ -134,9 +134,9 @@
 {
     const auto &claims = *m_instance.claims();
     if (m_instance.isDraining())
-        throw claims.doorRefusal(Core::ErrorKind::Draining, key);
+        throw claims.earlyRejection(Core::ErrorKind::Draining, key);
     if (m_instance.clock().wallNow() - key.issuedAt > m_service.keyWindow)
-        throw claims.doorRefusal(Core::ErrorKind::KeyExpired, key);
+        throw claims.earlyRejection(Core::ErrorKind::KeyExpired, key);
 }
 
 asio::awaitable<AdmissionSlot> ServiceRelay::admitKeyed(Claims::ClaimKey key)
@@ -147,7 +147,7 @@
     } catch (const Core::Error &error) {
         refusal = error.kind();
     }
-    throw m_instance.claims()->doorRefusal(*refusal, key);
+    throw m_instance.claims()->earlyRejection(*refusal, key);
 }
 
 asio::awaitable<void> ServiceRelay::answer(Claims::Outcome outcome)
--- a/Libraries/LibSiblings/SiblingService.cpp
+++ b/Libraries/LibSiblings/SiblingService.cpp
@@ -107,7 +107,7 @@
 {
     m_server->start();
     m_instance.setCrashHook([this] { asio::post(m_context, [this] { announce(); }); });
-    asio::co_spawn(m_context, keepTime(), asio::detached);
+    asio::co_spawn(m_context, runTimers(), asio::detached);
     asio::co_spawn(m_context, warmUp(), asio::detached);
 }
 
@@ -135,7 +135,7 @@
     m_instance.admission().setSiblings(instances);
 }
 
-asio::awaitable<void> SiblingService::keepTime()
+asio::awaitable<void> SiblingService::runTimers()
 {
     asio::steady_timer timer(co_await asio::this_coro::executor);
     for (unsigned n = 0;; ++n) {
--- a/Libraries/LibSiblings/SiblingService.h
+++ b/Libraries/LibSiblings/SiblingService.h
@@ -57,7 +57,7 @@
     Peer::PeerHandlers handlers();
     Peer::PeerSettings peerSettings(const SiblingSettings &settings) const;
     void createProbes();
-    boost::asio::awaitable<void> keepTime();
+    boost::asio::awaitable<void> runTimers();
     boost::asio::awaitable<void> warmUp();
     void sendAdmissionReports();
     /// Sends what is most urgent to every sibling at once.
--- a/Tests/Documents/TestDocuments.cpp
+++ b/Tests/Documents/TestDocuments.cpp
@@ -51,7 +51,7 @@
         const auto seconds =
             row.retryAfter ? std::to_string(row.retryAfter->count()) + " s" : std::string("none");
         expected.push_back({std::string(row.name), std::to_string(row.httpStatus),
-                            std::string(Core::fateName(row.attempt)), seconds,
+                            std::string(Core::executionStatusName(row.attempt)), seconds,
                             std::string(row.meaning)});
     }
     checkRows(tableRows("ERRORS.md", "kind"), expected);
--- a/Tests/LibAccounting/TestSettlement.cpp
+++ b/Tests/LibAccounting/TestSettlement.cpp
@@ -14,7 +14,7 @@
         const SlotMicroseconds capacity = rng() % 1'000'000'007;
         std::vector<OwnedShare> shares;
         std::vector<TeamUse> uses;
-        std::uint64_t free = WholeShare;
+        std::uint64_t free = FullShare;
         for (std::uint64_t n = 0; n < 1 + rng() % 8; ++n) {
             const Core::TeamId team("t" + std::to_string(n));
             const auto part = rng() % (free + 1);
--- a/Tests/LibAdmission/TestController.cpp
+++ b/Tests/LibAdmission/TestController.cpp
@@ -49,7 +49,7 @@
         return controller->submit(ticket, [this, team, priorityClass](auto result) {
             if (!result) {
                 refusals.push_back(result.error().kind());
-                CHECK(result.error().attempt() == Core::Fate::NotRun);
+                CHECK(result.error().attempt() == Core::ExecutionStatus::NotRun);
                 return;
             }
             granted.push_back({result.value(), team, priorityClass});
--- a/Tests/LibAdmission/TestRetries.cpp
+++ b/Tests/LibAdmission/TestRetries.cpp
@@ -14,7 +14,7 @@
 TEST_CASE("retries stay a share of successes when upstreams fail")
 {
     Core::ManualClock clock;
-    RetryBudget budget({.share = 0.1, .leastPerSecond = 1, .burst = 5});
+    RetryBudget budget({.share = 0.1, .minPerSecond = 1, .burst = 5});
     int retries = 0;
     for (int n = 0; n < 1000; ++n) {
         clock.advance(1ms);
--- a/Tests/LibClaims/ClaimHistory.cpp
+++ b/Tests/LibClaims/ClaimHistory.cpp
@@ -208,10 +208,10 @@
                 return perform(n, engine.begin(id, call));
             if (chance(30))
                 return perform(n, engine.beginClose(id, call, Core::ErrorKind::PoisonRequest));
-            const auto error = engine.doorRefusal(Core::ErrorKind::Overloaded, call.key);
+            const auto error = engine.earlyRejection(Core::ErrorKind::Overloaded, call.key);
             const bool promise = m_mutation == Mutation::DoorPromises;
             note(id, {nullptr, false, error.kind(), error.attempt(),
-                      promise ? Core::Fate::NotRun : *error.key()});
+                      promise ? Core::ExecutionStatus::NotRun : *error.key()});
         });
     });
 }
@@ -364,7 +364,7 @@
         serve(n, action.call);
     m_calls.at(action.call).lateClaim = m_mutation == Mutation::SendLateClaim && gaveUp;
     if (m_mutation == Mutation::ExpiryPromises && outcome.error == Core::ErrorKind::KeyExpired)
-        outcome.key = Core::Fate::NotRun;
+        outcome.key = Core::ExecutionStatus::NotRun;
     note(action.call, outcome);
 }
 
--- a/Tests/LibClaims/ClaimHistoryCheck.cpp
+++ b/Tests/LibClaims/ClaimHistoryCheck.cpp
@@ -13,7 +13,7 @@
     m_answers.push_back({id, outcome, m_runs[key] > 0, m_wins[key] > 0});
     ++m_report.answers;
     m_report.replays += outcome.replayed ? 1 : 0;
-    if (outcome.key != Core::Fate::Unknown)
+    if (outcome.key != Core::ExecutionStatus::Unknown)
         return;
     ++m_report.unknownKeys;
     const auto kind = outcome.error ? Core::errorKindRow(*outcome.error).name : "answer";
@@ -52,15 +52,15 @@
         const auto &call = m_calls.at(it.call);
         const auto &outcome = it.outcome;
         const auto key = call.key();
-        if (outcome.attempt == Core::Fate::NotRun && call.ran)
+        if (outcome.attempt == Core::ExecutionStatus::NotRun && call.ran)
             breach(it.call, "the attempt was said not to run and ran");
-        if (outcome.attempt == Core::Fate::Run && !call.ran)
+        if (outcome.attempt == Core::ExecutionStatus::Run && !call.ran)
             breach(it.call, "the attempt was said to have run and did not");
-        if (outcome.key == Core::Fate::NotRun && m_runs[key] > 0)
+        if (outcome.key == Core::ExecutionStatus::NotRun && m_runs[key] > 0)
             breach(it.call, "the key was said not to run and ran");
-        if (outcome.key == Core::Fate::Run && !it.keyRanThen)
+        if (outcome.key == Core::ExecutionStatus::Run && !it.keyRanThen)
             breach(it.call, "the key was said to have run and had not");
-        if (outcome.key == Core::Fate::Running && !it.keyWonThen)
+        if (outcome.key == Core::ExecutionStatus::Running && !it.keyWonThen)
             breach(it.call, "the key was said to be running and nobody had won it");
         if (outcome.answer && outcome.answer->body != bodyOf(call.request))
             breach(it.call, "the answer is another request's");
--- a/Tests/LibClaims/TestClaimCoordinator.cpp
+++ b/Tests/LibClaims/TestClaimCoordinator.cpp
@@ -113,7 +113,7 @@
             const auto outcome = it.get();
             REQUIRE(outcome.answer);
             CHECK(outcome.answer->body == "done");
-            CHECK(outcome.key == Core::Fate::Run);
+            CHECK(outcome.key == Core::ExecutionStatus::Run);
             firsts += outcome.replayed ? 0 : 1;
         }
         CHECK(firsts == 1);
@@ -127,8 +127,8 @@
     site.log.isOut = true;
     const auto refused = site.call(0, "k").get();
     CHECK(refused.error == Core::ErrorKind::LogUnavailable);
-    CHECK(refused.attempt == Core::Fate::NotRun);
-    CHECK(refused.key == Core::Fate::Unknown);
+    CHECK(refused.attempt == Core::ExecutionStatus::NotRun);
+    CHECK(refused.key == Core::ExecutionStatus::Unknown);
     CHECK(site.runs == 0);
     site.log.isOut = false;
     Outcome outcome;
@@ -143,12 +143,12 @@
     Site site;
     const auto refused = site.call(0, "k", SendState::NotSent).get();
     CHECK(refused.error == Core::ErrorKind::UpstreamUnreachable);
-    CHECK(refused.key == Core::Fate::NotRun);
+    CHECK(refused.key == Core::ExecutionStatus::NotRun);
     const auto resent = site.call(1, "k").get();
     CHECK(resent.error == Core::ErrorKind::KeyClosed);
-    CHECK(resent.key == Core::Fate::NotRun);
+    CHECK(resent.key == Core::ExecutionStatus::NotRun);
     CHECK(site.runs == 0);
-    CHECK(site.call(0, "lost", SendState::OutcomeLost).get().key == Core::Fate::Unknown);
+    CHECK(site.call(0, "lost", SendState::OutcomeLost).get().key == Core::ExecutionStatus::Unknown);
     CHECK(site.call(1, "lost").get().error == Core::ErrorKind::KeyOutcomeUnknown);
     CHECK(site.runs == 1);
 }
--- a/Tests/LibClaims/TestClaimEngine.cpp
+++ b/Tests/LibClaims/TestClaimEngine.cpp
@@ -8,7 +8,7 @@
 using namespace Claims;
 using namespace std::chrono_literals;
 using Core::ErrorKind;
-using Core::Fate;
+using Core::ExecutionStatus;
 
 namespace {
 
@@ -42,7 +42,10 @@
         }
         return std::nullopt;
     }
-    Fate fateAtDoor() const { return *engine.doorRefusal(ErrorKind::Overloaded, call.key).key(); }
+    ExecutionStatus fateAtDoor() const
+    {
+        return *engine.earlyRejection(ErrorKind::Overloaded, call.key).key();
+    }
 
     Core::ManualClock clock;
     Call call {
@@ -57,15 +60,16 @@
 TEST_CASE("a refusal at the door says of the key only what the log shows")
 {
     Scene scene;
-    CHECK(scene.engine.doorRefusal(ErrorKind::Draining, scene.call.key).attempt() == Fate::NotRun);
-    CHECK(scene.fateAtDoor() == Fate::Unknown);
+    CHECK(scene.engine.earlyRejection(ErrorKind::Draining, scene.call.key).attempt()
+          == ExecutionStatus::NotRun);
+    CHECK(scene.fateAtDoor() == ExecutionStatus::Unknown);
     scene.readFromOther(RecordKind::Claim);
-    CHECK(scene.fateAtDoor() == Fate::Unknown);
+    CHECK(scene.fateAtDoor() == ExecutionStatus::Unknown);
     scene.readFromOther(RecordKind::Finished);
-    CHECK(scene.fateAtDoor() == Fate::Run);
+    CHECK(scene.fateAtDoor() == ExecutionStatus::Run);
     Scene closed;
     closed.readFromOther(RecordKind::Close);
-    CHECK(closed.fateAtDoor() == Fate::NotRun);
+    CHECK(closed.fateAtDoor() == ExecutionStatus::NotRun);
 }
 
 TEST_CASE("an expired key is refused without a word about its past")
@@ -75,8 +79,8 @@
     const auto answer = Scene::find<AnswerAction>(scene.engine.begin(1, scene.call));
     REQUIRE(answer);
     CHECK(answer->outcome.error == ErrorKind::KeyExpired);
-    CHECK(answer->outcome.attempt == Fate::NotRun);
-    CHECK(answer->outcome.key == Fate::Unknown);
+    CHECK(answer->outcome.attempt == ExecutionStatus::NotRun);
+    CHECK(answer->outcome.key == ExecutionStatus::Unknown);
 }
 
 TEST_CASE("a claim that lands after its caller was refused is voided and never sent")
@@ -90,8 +94,8 @@
     const auto refused = Scene::find<AnswerAction>(scene.engine.onTimer());
     REQUIRE(refused);
     CHECK(refused->outcome.error == ErrorKind::LogUnavailable);
-    CHECK(refused->outcome.attempt == Fate::NotRun);
-    CHECK(refused->outcome.key == Fate::Unknown);
+    CHECK(refused->outcome.attempt == ExecutionStatus::NotRun);
+    CHECK(refused->outcome.key == ExecutionStatus::Unknown);
     CHECK_FALSE(Scene::find<SendAction>(scene.read(claim->data)));
     scene.clock.advance(2ms);
     const auto voided = Scene::find<AppendBatch>(scene.engine.onTimer());
@@ -116,7 +120,7 @@
     scene.clock.advance(10s);
     const auto actions = scene.read(claim->data);
     CHECK_FALSE(Scene::find<SendAction>(actions));
-    CHECK(Scene::find<AnswerAction>(actions)->outcome.attempt == Fate::NotRun);
+    CHECK(Scene::find<AnswerAction>(actions)->outcome.attempt == ExecutionStatus::NotRun);
 }
 
 TEST_CASE("a winner sends once, however often its claim is read")
@@ -128,5 +132,5 @@
     REQUIRE(claim);
     CHECK(Scene::find<SendAction>(scene.read(claim->data)));
     CHECK_FALSE(Scene::find<SendAction>(scene.read(claim->data)));
-    CHECK(scene.fateAtDoor() == Fate::Running);
+    CHECK(scene.fateAtDoor() == ExecutionStatus::Running);
 }
--- a/Tests/LibCore/TestErrorKind.cpp
+++ b/Tests/LibCore/TestErrorKind.cpp
@@ -26,7 +26,8 @@
 
 TEST_CASE("an error body names both fates")
 {
-    const Core::Error error(Core::ErrorKind::Draining, "", Core::Fate::NotRun, Core::Fate::Unknown);
+    const Core::Error error(Core::ErrorKind::Draining, "", Core::ExecutionStatus::NotRun,
+                            Core::ExecutionStatus::Unknown);
     CHECK(Core::errorBody(error).find(R"("attempt":"not_run","key":"unknown")")
           != std::string::npos);
 }
--- a/Tests/LibCore/TestLogging.cpp
+++ b/Tests/LibCore/TestLogging.cpp
@@ -1,5 +1,5 @@
-#include <LibCore/LineAllowance.h>
 #include <LibCore/LineWriter.h>
+#include <LibCore/LogRateLimiter.h>
 #include <LibCore/ManualClock.h>
 
 #include <catch2/catch.hpp>
@@ -62,7 +62,7 @@
 {
     Core::ManualClock clock;
     clock.advance(1h);
-    Core::LineAllowance allowance;
+    Core::LogRateLimiter allowance;
     unsigned passed = 0;
     for (int n = 0; n < 20'000; ++n) {
         clock.advance(1ms);
--- a/Tests/LibHttp/TestServer.cpp
+++ b/Tests/LibHttp/TestServer.cpp
@@ -215,7 +215,7 @@
                            asio::use_future)
                 .get();
         } catch (const Core::Error &error) {
-            CHECK(error.attempt() == Core::Fate::NotRun);
+            CHECK(error.attempt() == Core::ExecutionStatus::NotRun);
             return error.kind();
         }
         return Core::ErrorKind::Internal;
--- a/Utilities/jujubebench/AdmissionRun.cpp
+++ b/Utilities/jujubebench/AdmissionRun.cpp
@@ -94,7 +94,7 @@
 {
     std::vector<Accounting::OwnedShare> shares;
     for (std::size_t n = 0; n < m_setup.ownedShares.size(); ++n) {
-        const double millionths = m_setup.ownedShares[n] * Accounting::WholeShare;
+        const double millionths = m_setup.ownedShares[n] * Accounting::FullShare;
         shares.push_back({teamName(n), static_cast<std::uint64_t>(millionths)});
     }
     Accounting::UsageLedger ledger([shares](const auto &, auto) { return shares; }, AccountStretch);
--- a/Utilities/jujubectl/HttpAdminClient.cpp
+++ b/Utilities/jujubectl/HttpAdminClient.cpp
@@ -22,7 +22,7 @@
         throw Core::Error(Core::ErrorKind::UpstreamFailed,
                           "status " + std::to_string(response.status) + ": " + response.body);
     if (ec)
-        throw Core::Error(Core::ErrorKind::UpstreamGarbage, "the answer is not JSON");
+        throw Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "the answer is not JSON");
     return value;
 }
 
