--- a/Libraries/LibGateway/AcceptedRequest.cpp
+++ b/Libraries/LibGateway/AcceptedRequest.cpp
@@ -30,15 +30,16 @@
 
 std::optional<Refusal> AcceptedRequest::authorize(Gateway &gateway, const Http::Request &request)
 {
-    const auto &known = gateway.parts().configuration;
-    const auto now = gateway.parts().clock.now();
+    const auto &known = gateway.dependencies().configuration;
+    const auto now = gateway.dependencies().clock.now();
     configuration = known.current();
     if (!configuration)
         return Refusal {Core::ErrorKind::NotReady, "no configuration is known yet",
                         ShortRetryAfter};
     // What is not known may have been added since; only fresh knowledge denies it.
     const bool isComplete =
-        known.age(now) < CompleteKnowledgeShare * gateway.parts().settings.configurationBound;
+        known.age(now)
+        < CompleteKnowledgeShare * gateway.dependencies().settings.configurationBound;
     const Refusal outOfDate {Core::ErrorKind::NotReady, "the configuration may be out of date",
                              ShortRetryAfter};
     const auto &target = request.target;
--- a/Libraries/LibGateway/BeliefKeeper.cpp
+++ b/Libraries/LibGateway/BeliefKeeper.cpp
@@ -19,14 +19,15 @@
 
 } // namespace
 
-BeliefKeeper::BeliefKeeper(Parts parts)
-    : m_parts(parts)
+BeliefKeeper::BeliefKeeper(Dependencies dependencies)
+    : m_dependencies(dependencies)
 { }
 
 std::chrono::milliseconds BeliefKeeper::pause() const
 {
     // In a large fleet each data centre has a writer, as only its siblings are heard.
-    const auto writers = m_parts.members.isLarge() ? m_parts.members.elsewhere().size() + 1 : 1;
+    const auto writers =
+        m_dependencies.members.isLarge() ? m_dependencies.members.elsewhere().size() + 1 : 1;
     return WritePause * static_cast<int>(writers);
 }
 
@@ -34,36 +35,37 @@
 {
     while (!m_hasTaken) {
         co_await sleepFor(LookPause);
-        if (!m_parts.fleet.all().empty())
+        if (!m_dependencies.fleet.all().empty())
             co_await takeOver();
     }
     for (;;) {
         co_await sleepFor(pause());
-        if (m_parts.members.reachableBefore(WriterKey) == 0)
+        if (m_dependencies.members.reachableBefore(WriterKey) == 0)
             co_await write();
     }
 }
 
 asio::awaitable<void> BeliefKeeper::takeOver()
 {
-    const auto begin = m_parts.clock.now();
+    const auto begin = m_dependencies.clock.now();
     const auto isAwaited = [this] {
-        for (const auto &[holder, store] : m_parts.stores.all()) {
+        for (const auto &[holder, store] : m_dependencies.stores.all()) {
             if (!store.isAnswering())
                 return true;
         }
         return false;
     };
-    while (isAwaited() && m_parts.clock.now() - begin < StoresGrace)
+    while (isAwaited() && m_dependencies.clock.now() - begin < StoresGrace)
         co_await sleepFor(LookPause);
     std::string failure;
     try {
-        const auto page = co_await m_parts.log.newest(FleetTopic::Beliefs);
+        const auto page = co_await m_dependencies.log.newest(FleetTopic::Beliefs);
         m_hasTaken = true;
         for (const auto &record : page.records) {
             if (!record.value)
                 continue;
-            const auto taken = applyBeliefs(*record.value, m_parts.fleet, m_parts.stores);
+            const auto taken =
+                applyBeliefs(*record.value, m_dependencies.fleet, m_dependencies.stores);
             Core::logEvent(Core::EventId::SnapshotTaken,
                            {{"log", "beliefs"}, {"parts", std::to_string(taken)}});
         }
@@ -78,12 +80,12 @@
 
 asio::awaitable<void> BeliefKeeper::write()
 {
-    auto snapshot = encodeBeliefs(m_parts.fleet, m_parts.stores);
+    auto snapshot = encodeBeliefs(m_dependencies.fleet, m_dependencies.stores);
     if (snapshot.empty())
         co_return;
     std::string failure;
     try {
-        co_await m_parts.log.append(FleetTopic::Beliefs, std::move(snapshot), std::nullopt);
+        co_await m_dependencies.log.append(FleetTopic::Beliefs, std::move(snapshot), std::nullopt);
     } catch (const Core::Error &error) {
         failure = error.what();
     }
--- a/Libraries/LibGateway/BeliefKeeper.h
+++ b/Libraries/LibGateway/BeliefKeeper.h
@@ -12,7 +12,7 @@
 class BeliefKeeper
 {
 public:
-    struct Parts
+    struct Dependencies
     {
         FleetLog &log;
         const FleetMembers &members;
@@ -21,7 +21,7 @@
         const Core::Clock &clock;
     };
 
-    explicit BeliefKeeper(Parts parts);
+    explicit BeliefKeeper(Dependencies dependencies);
 
     /// Takes over the snapshot once the upstreams are known, and then writes in its turn until the
     /// process ends.
@@ -33,7 +33,7 @@
     /// Between two snapshots of this instance.
     std::chrono::milliseconds pause() const;
 
-    Parts m_parts;
+    Dependencies m_dependencies;
     bool m_hasTaken = false;
 };
 
--- a/Libraries/LibGateway/FleetWatcher.cpp
+++ b/Libraries/LibGateway/FleetWatcher.cpp
@@ -43,8 +43,8 @@
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
 }
 
-FleetWatcher::FleetWatcher(Parts parts, std::function<void()> onConfiguration)
-    : m_parts(parts)
+FleetWatcher::FleetWatcher(Dependencies dependencies, std::function<void()> onConfiguration)
+    : m_dependencies(dependencies)
     , m_onConfiguration(std::move(onConfiguration))
 { }
 
@@ -52,7 +52,7 @@
 {
     auto &isDown = m_isDown[topic];
     if (!isAnswering)
-        noteTrouble(m_parts.clock.now());
+        noteTrouble(m_dependencies.clock.now());
     if (isDown == !isAnswering)
         return;
     isDown = !isAnswering;
@@ -89,9 +89,10 @@
     for (;;) {
         FleetPage page;
         if (m_operatorNext)
-            page = co_await m_parts.log.read(FleetTopic::Operator, *m_operatorNext, OperatorWait);
+            page = co_await m_dependencies.log.read(FleetTopic::Operator, *m_operatorNext,
+                                                    OperatorWait);
         else
-            page = co_await m_parts.log.newest(FleetTopic::Operator);
+            page = co_await m_dependencies.log.newest(FleetTopic::Operator);
         applyOperatorPage(page);
         co_await sleepFor(LeastPause);
     }
@@ -108,21 +109,21 @@
         applyOperator(record);
     m_operatorNext = page.next;
     if (page.isComplete)
-        m_parts.configuration.confirm(page.asOf);
+        m_dependencies.configuration.confirm(page.asOf);
 }
 
 void FleetWatcher::applyOperator(const FleetRecord &record)
 {
     if (!record.value)
         return;
-    auto decoded = m_parts.decoder.decodeOperator(record);
+    auto decoded = m_dependencies.decoder.decodeOperator(record);
     if (!decoded) {
         Core::logEvent(Core::EventId::ConfigurationRefused,
                        {{"key", record.key}, {"reason", decoded.error().detail()}});
         return;
     }
     if (auto *target = std::get_if<WeightsTarget>(&decoded.value())) {
-        if (m_parts.weights.name(target->model, target->version, m_parts.clock.now()))
+        if (m_dependencies.weights.name(target->model, target->version, m_dependencies.clock.now()))
             Core::logEvent(
                 Core::EventId::WeightsNamed,
                 {{"model", target->model}, {"version", std::to_string(target->version)}});
@@ -132,7 +133,7 @@
     if (!configuration)
         return;
     const auto version = configuration->version;
-    if (!m_parts.configuration.adopt(
+    if (!m_dependencies.configuration.adopt(
             std::make_shared<const GatewayConfiguration>(std::move(*configuration))))
         return;
     Core::logEvent(Core::EventId::ConfigurationInForce, {{"version", std::to_string(version)}});
@@ -161,10 +162,10 @@
     for (;;) {
         FleetPage page;
         if (m_upstreamsNext)
-            page =
-                co_await m_parts.log.read(FleetTopic::Upstreams, *m_upstreamsNext, UpstreamsWait);
+            page = co_await m_dependencies.log.read(FleetTopic::Upstreams, *m_upstreamsNext,
+                                                    UpstreamsWait);
         else
-            page = co_await m_parts.log.newest(FleetTopic::Upstreams);
+            page = co_await m_dependencies.log.newest(FleetTopic::Upstreams);
         if (!m_upstreamsNext)
             dropUnlisted(page);
         applyUpstreamsPage(page);
@@ -179,7 +180,7 @@
     for (const auto &record : page.records)
         listed.insert(record.key);
     std::vector<std::string> missing;
-    for (const auto &[id, upstream] : m_parts.fleet.all()) {
+    for (const auto &[id, upstream] : m_dependencies.fleet.all()) {
         if (!listed.contains(id.value()))
             missing.push_back(id.value());
     }
@@ -204,28 +205,28 @@
 void FleetWatcher::applyUpstream(const FleetRecord &record)
 {
     if (!record.value) {
-        const auto now = m_parts.clock.now();
+        const auto now = m_dependencies.clock.now();
         const bool isTrouble =
             m_storeTrouble != Core::Clock::Monotonic::min() && now - m_storeTrouble < LapseGrace;
         if (isTrouble)
             m_lapsed.try_emplace(record.key, now + LapseGrace);
         else
-            m_parts.fleet.remove(Core::UpstreamId(record.key));
+            m_dependencies.fleet.remove(Core::UpstreamId(record.key));
         return;
     }
-    auto report = m_parts.decoder.decodeUpstream(record);
+    auto report = m_dependencies.decoder.decodeUpstream(record);
     if (!report) {
         Core::logEvent(Core::EventId::UpstreamEntryInvalid,
                        {{"key", record.key}, {"reason", report.error().detail()}});
         return;
     }
     m_lapsed.erase(record.key);
-    m_parts.fleet.apply(std::move(report.value()));
+    m_dependencies.fleet.apply(std::move(report.value()));
 }
 
 void FleetWatcher::dropLapsed()
 {
-    const auto now = m_parts.clock.now();
+    const auto now = m_dependencies.clock.now();
     // While the store is away nothing can come back to the list.
     if (m_isDown[FleetTopic::Upstreams]) {
         for (auto &[id, until] : m_lapsed)
@@ -235,7 +236,7 @@
     std::erase_if(m_lapsed, [&](const auto &item) {
         if (now < item.second)
             return false;
-        m_parts.fleet.remove(Core::UpstreamId(item.first));
+        m_dependencies.fleet.remove(Core::UpstreamId(item.first));
         return true;
     });
 }
--- a/Libraries/LibGateway/FleetWatcher.h
+++ b/Libraries/LibGateway/FleetWatcher.h
@@ -23,7 +23,7 @@
 class FleetWatcher
 {
 public:
-    struct Parts
+    struct Dependencies
     {
         FleetLog &log;
         const RecordDecoder &decoder;
@@ -33,7 +33,7 @@
         UpstreamFleet &fleet;
     };
 
-    FleetWatcher(Parts parts, std::function<void()> onConfiguration);
+    FleetWatcher(Dependencies dependencies, std::function<void()> onConfiguration);
 
     /// Follows the operators' records until the process ends.
     boost::asio::awaitable<void> watchOperator();
@@ -59,7 +59,7 @@
     /// Takes off the list what a fresh list no longer holds.
     void dropUnlisted(const FleetPage &page);
 
-    Parts m_parts;
+    Dependencies m_dependencies;
     std::function<void()> m_onConfiguration;
     std::map<FleetTopic, bool> m_isDown;
     /// Where to read on; none before the first read and after records were missed.
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -10,8 +10,8 @@
 
 } // namespace
 
-Gateway::Gateway(GatewayParts parts)
-    : m_parts(parts)
+Gateway::Gateway(GatewayDependencies dependencies)
+    : m_dependencies(dependencies)
     , m_random(std::random_device {}())
 { }
 
@@ -23,15 +23,15 @@
 
 bool Gateway::knowsKeys() const
 {
-    return m_parts.configuration.age(m_parts.clock.now())
-           < m_parts.settings.revocationBound - RevocationMargin;
+    return m_dependencies.configuration.age(m_dependencies.clock.now())
+           < m_dependencies.settings.revocationBound - RevocationMargin;
 }
 
 bool Gateway::isReady() const
 {
     // Without the members no request could be sent again after a failure.
-    return !m_isDraining && m_parts.configuration.current() && knowsKeys()
-           && !m_parts.fleet.all().empty() && m_instances;
+    return !m_isDraining && m_dependencies.configuration.current() && knowsKeys()
+           && !m_dependencies.fleet.all().empty() && m_instances;
 }
 
 } // namespace Gateway
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -23,7 +23,7 @@
 namespace Gateway {
 
 /// What a request's way through this instance works with.
-struct GatewayParts
+struct GatewayDependencies
 {
     const GatewaySettings &settings;
     const Core::Clock &clock;
@@ -39,7 +39,7 @@
 class Gateway
 {
 public:
-    explicit Gateway(GatewayParts parts);
+    explicit Gateway(GatewayDependencies dependencies);
 
     /// Serves one request; a handler of Http::Server.
     boost::asio::awaitable<void> handle(Http::ServerExchange &exchange);
@@ -59,7 +59,7 @@
     void refuseAll() { m_isRefusing = true; }
     bool isRefusing() const { return m_isRefusing; }
 
-    const GatewayParts &parts() const { return m_parts; }
+    const GatewayDependencies &dependencies() const { return m_dependencies; }
     GatewayMetrics &metrics() { return m_metrics; }
     PartStores &stores() { return m_stores; }
     PoisonLedger &poison() { return m_poison; }
@@ -84,7 +84,7 @@
         onWeightsSeen;
 
 private:
-    GatewayParts m_parts;
+    GatewayDependencies m_dependencies;
     GatewayMetrics m_metrics;
     PartStores m_stores;
     PoisonLedger m_poison;
--- a/Libraries/LibGateway/PartStoreWatch.cpp
+++ b/Libraries/LibGateway/PartStoreWatch.cpp
@@ -25,30 +25,32 @@
 
 } // namespace
 
-PartStoreWatch::PartStoreWatch(Parts parts)
-    : m_parts(parts)
+PartStoreWatch::PartStoreWatch(Dependencies dependencies)
+    : m_dependencies(dependencies)
 { }
 
 bool PartStoreWatch::isAsker(const PartStore &store) const
 {
     // In a large fleet only the siblings of the own data centre are heard, and each one has askers.
-    const auto dataCentres = m_parts.members.isLarge() ? m_parts.members.elsewhere().size() + 1 : 1;
+    const auto dataCentres =
+        m_dependencies.members.isLarge() ? m_dependencies.members.elsewhere().size() + 1 : 1;
     const auto most = std::max<std::size_t>(1, Askers / dataCentres);
-    return m_parts.members.reachableBefore(Http::formatEndpoint(store.endpoint())) < most;
+    return m_dependencies.members.reachableBefore(Http::formatEndpoint(store.endpoint())) < most;
 }
 
 asio::awaitable<void> PartStoreWatch::run()
 {
     for (;;) {
-        for (const auto &[holder, store] : m_parts.stores.all()) {
+        for (const auto &[holder, store] : m_dependencies.stores.all()) {
             if (!isAsker(store) || !m_followed.insert(holder).second)
                 continue;
             asio::co_spawn(co_await asio::this_coro::executor, follow(holder), asio::detached);
         }
-        for (const auto holder : m_parts.stores.dropSilent(SilencePatience, m_parts.clock.now()))
+        for (const auto holder :
+             m_dependencies.stores.dropSilent(SilencePatience, m_dependencies.clock.now()))
             Core::logEvent(
                 Core::EventId::PartStoreLost,
-                {{"store", Http::formatEndpoint(m_parts.stores.find(holder)->endpoint())},
+                {{"store", Http::formatEndpoint(m_dependencies.stores.find(holder)->endpoint())},
                  {"reason", "neither an answer nor a sibling's word of one"}});
         co_await sleepFor(LookPause);
     }
@@ -58,7 +60,7 @@
 {
     std::uint64_t position = 0;
     for (;;) {
-        const auto *store = m_parts.stores.find(holder);
+        const auto *store = m_dependencies.stores.find(holder);
         if (!store || !isAsker(*store))
             break;
         co_await ask(store->endpoint(), position);
@@ -72,8 +74,8 @@
     const auto holder = PartStore::holderOf(endpoint);
     std::string failure;
     try {
-        const auto epoch = co_await m_parts.engines.storeEpoch(endpoint, position);
-        if (m_parts.stores.noteAnswer(holder, epoch, m_parts.clock.now()))
+        const auto epoch = co_await m_dependencies.engines.storeEpoch(endpoint, position);
+        if (m_dependencies.stores.noteAnswer(holder, epoch, m_dependencies.clock.now()))
             Core::logEvent(Core::EventId::PartStoreBack, {{"store", Http::formatEndpoint(endpoint)},
                                                           {"life", std::to_string(epoch)}});
         if (onAnswer)
@@ -84,7 +86,7 @@
     if (failure.empty())
         co_return;
     position = 0;
-    auto *store = m_parts.stores.find(holder);
+    auto *store = m_dependencies.stores.find(holder);
     if (store && store->noteSilence())
         Core::logEvent(Core::EventId::PartStoreLost,
                        {{"store", Http::formatEndpoint(endpoint)}, {"reason", failure}});
--- a/Libraries/LibGateway/PartStoreWatch.h
+++ b/Libraries/LibGateway/PartStoreWatch.h
@@ -16,7 +16,7 @@
 class PartStoreWatch
 {
 public:
-    struct Parts
+    struct Dependencies
     {
         PartStores &stores;
         EngineControl &engines;
@@ -24,7 +24,7 @@
         const Core::Clock &clock;
     };
 
-    explicit PartStoreWatch(Parts parts);
+    explicit PartStoreWatch(Dependencies dependencies);
 
     /// Works until the process ends.
     boost::asio::awaitable<void> run();
@@ -38,7 +38,7 @@
     boost::asio::awaitable<void> follow(std::uint64_t holder);
     boost::asio::awaitable<void> ask(Http::Endpoint endpoint, std::uint64_t &position);
 
-    Parts m_parts;
+    Dependencies m_dependencies;
     std::set<std::uint64_t> m_followed;
 };
 
--- a/Libraries/LibGateway/RequestLog.cpp
+++ b/Libraries/LibGateway/RequestLog.cpp
@@ -24,7 +24,7 @@
 
 void logRefusal(const Gateway &gateway, const AcceptedRequest &request, const Refusal &refusal)
 {
-    const auto &parts = gateway.parts();
+    const auto &dependencies = gateway.dependencies();
     Core::logEvent(
         Core::EventId::RequestRefused,
         {{"request", request.caller.attemptId},
@@ -34,13 +34,13 @@
          {"reason", refusal.reason},
          {"configuration",
           request.configuration ? std::to_string(request.configuration->version) : "none"},
-         {"age_ms", milliseconds(parts.configuration.age(parts.clock.now()))}});
+         {"age_ms", milliseconds(dependencies.configuration.age(dependencies.clock.now()))}});
 }
 
 void logServed(Gateway &gateway, const AcceptedRequest &request, const RequestPlan &plan,
                const RequestProgress &progress)
 {
-    const auto now = gateway.parts().clock.now();
+    const auto now = gateway.dependencies().clock.now();
     const EngineChoice none;
     const auto &engine = plan.engine ? *plan.engine : none;
     Core::logEvent(
@@ -72,7 +72,7 @@
                     {"end", std::string(end)},
                     {"reason", reason},
                     {"send", std::to_string(progress.sends)},
-                    {"left_ms", milliseconds(request.left(gateway.parts().clock.now()))}});
+                    {"left_ms", milliseconds(request.left(gateway.dependencies().clock.now()))}});
 }
 
 } // namespace Gateway
--- a/Libraries/LibGateway/RequestPlan.cpp
+++ b/Libraries/LibGateway/RequestPlan.cpp
@@ -50,7 +50,7 @@
 EngineDemand demandOf(const Gateway &gateway, const AcceptedRequest &request,
                       const EngineLimits &engine)
 {
-    const auto &parts = gateway.parts();
+    const auto &dependencies = gateway.dependencies();
     EngineDemand demand;
     demand.parts = request.parts;
     demand.promptTokens = request.promptTokens();
@@ -59,9 +59,9 @@
     demand.sharedTokens = request.sharedTokens();
     demand.model = request.caller.model;
     demand.isUrgent = isUrgent(*request.route, request.tenant);
-    demand.targets = &parts.weights;
+    demand.targets = &dependencies.weights;
     demand.weightsPatience =
-        duration_cast<milliseconds>(WeightsPatienceShare * parts.settings.weightsBound);
+        duration_cast<milliseconds>(WeightsPatienceShare * dependencies.settings.weightsBound);
     demand.slots = engine.slots;
     demand.memoryTokens = request.memoryTokens();
     demand.memoryCapacity = engine.cacheTokens;
@@ -103,7 +103,7 @@
     auto demand = demandOf(gateway, request, *service.engine);
     const auto *store = gateway.stores().storeFor(demand.homeKey);
     demand.store = store;
-    auto chosen = chooseEngine(gateway.parts().fleet.members(service.name),
+    auto chosen = chooseEngine(gateway.dependencies().fleet.members(service.name),
                                gateway.engineModel(service.name), demand, limits);
     if (!chosen)
         return Refusal {Core::ErrorKind::NoUpstream, "no engine of " + service.name + " is free",
@@ -150,12 +150,13 @@
     limits.mostInFlight =
         std::max(2U, service->maxConnections / (gateway.instances().value_or(1) + SpareInstances));
     limits.excluded = excluded;
-    limits.now = gateway.parts().clock.now();
+    limits.now = gateway.dependencies().clock.now();
     if (service->engine && !request.caller.model.empty())
         return planEngine(gateway, request, *service, limits);
     RequestPlan plan;
     plan.service = name;
-    plan.upstream = chooseService(gateway.parts().fleet.members(name), limits, gateway.random());
+    plan.upstream =
+        chooseService(gateway.dependencies().fleet.members(name), limits, gateway.random());
     if (!plan.upstream)
         return Refusal {Core::ErrorKind::NoUpstream, "no upstream of " + name + " is free",
                         ShortRetryAfter};
--- a/Libraries/LibGateway/RequestRelay.cpp
+++ b/Libraries/LibGateway/RequestRelay.cpp
@@ -52,7 +52,7 @@
     : m_gateway(gateway)
     , m_exchange(exchange)
 {
-    m_request.arrival = gateway.parts().clock.now();
+    m_request.arrival = gateway.dependencies().clock.now();
 }
 
 RequestRelay::~RequestRelay()
@@ -62,7 +62,7 @@
 
 asio::awaitable<void> RequestRelay::run()
 {
-    auto refusal = m_request.read(m_gateway.parts().dialect, m_exchange.request());
+    auto refusal = m_request.read(m_gateway.dependencies().dialect, m_exchange.request());
     if (!refusal && m_gateway.isRefusing())
         refusal = Refusal {Core::ErrorKind::Draining, "the instance ends", LeastRetryAfter};
     if (!refusal)
@@ -126,7 +126,7 @@
         }
         m_plan = std::move(std::get<RequestPlan>(plan));
         if (isFirst)
-            m_gateway.retries(m_plan->service).noteRequest(m_gateway.parts().clock.now());
+            m_gateway.retries(m_plan->service).noteRequest(m_gateway.dependencies().clock.now());
         isFirst = false;
         const auto end = co_await attempt();
         if (end == AttemptEnd::Answered || !mayTryAgain(end)) {
@@ -150,11 +150,11 @@
 {
     if (m_endReason != EndReason::None)
         return false;
-    const auto &parts = m_gateway.parts();
+    const auto &dependencies = m_gateway.dependencies();
     if (m_plan->upstream->isGone() || m_plan->upstream->report().isDraining
-        || m_plan->upstream->heldUntil() > parts.clock.now())
+        || m_plan->upstream->heldUntil() > dependencies.clock.now())
         return false;
-    const auto &current = parts.configuration.current();
+    const auto &current = dependencies.configuration.current();
     if (current == m_request.configuration)
         return m_request.route->isPublic || current->tenants.empty() || m_gateway.knowsKeys();
     // Another version came in force since the choice; choose anew under it.
@@ -165,10 +165,11 @@
 {
     if (m_endReason != EndReason::None || left() <= 0ms)
         return false;
-    const auto &parts = m_gateway.parts();
+    const auto &dependencies = m_gateway.dependencies();
     const auto mayRepeat = [&] {
         return m_gateway.retries(m_plan->service)
-            .tryRepeat(parts.settings.retries, m_gateway.instances(), parts.clock.now());
+            .tryRepeat(dependencies.settings.retries, m_gateway.instances(),
+                       dependencies.clock.now());
     };
     switch (end) {
     case AttemptEnd::NotSent:
@@ -178,7 +179,8 @@
     case AttemptEnd::Broken:
     case AttemptEnd::FailedByUpstream:
         return m_request.route->mayRunAgain() && m_runs < m_request.route->maxAttempts
-               && !m_gateway.poison().isPoison(m_request.digest, parts.clock.now()) && mayRepeat();
+               && !m_gateway.poison().isPoison(m_request.digest, dependencies.clock.now())
+               && mayRepeat();
     case AttemptEnd::StreamBroken:
         return m_request.route->mayRunAgain() && !m_events.lastId().empty()
                && m_runs < m_request.route->maxAttempts && mayRepeat();
@@ -206,9 +208,10 @@
         m_plan->upstream->memory().setCapacity(service->engine->cacheTokens);
     }
     UpstreamLoad load(m_plan->upstream, missed, m_request.memoryTokens(),
-                      isUrgent(*m_request.route, m_request.tenant), m_gateway.parts().clock.now());
+                      isUrgent(*m_request.route, m_request.tenant),
+                      m_gateway.dependencies().clock.now());
     const auto end = co_await exchangeWith(load);
-    const auto now = m_gateway.parts().clock.now();
+    const auto now = m_gateway.dependencies().clock.now();
     if (end == AttemptEnd::Answered)
         m_plan->upstream->noteOutcome(true, now);
     else if (end != AttemptEnd::Ended && end != AttemptEnd::NotRun)
@@ -245,7 +248,7 @@
     dispatch.resumeAfter =
         m_events.lastId().empty() ? m_request.caller.resumeAfter : m_events.lastId();
     return Http::Request(request.method, request.target,
-                         m_gateway.parts().dialect.upstreamHeaders(request, dispatch),
+                         m_gateway.dependencies().dialect.upstreamHeaders(request, dispatch),
                          request.body);
 }
 
@@ -272,8 +275,8 @@
     std::unique_ptr<Http::ClientExchange> answer;
     std::optional<Core::Error> failure;
     try {
-        answer = co_await m_gateway.parts().client.open(m_plan->upstream->report().endpoint,
-                                                        upstreamRequest(), timeouts, options);
+        answer = co_await m_gateway.dependencies().client.open(
+            m_plan->upstream->report().endpoint, upstreamRequest(), timeouts, options);
     } catch (const Core::Error &error) {
         failure = error;
     }
@@ -309,7 +312,7 @@
     if (m_hasTimedOut)
         noteUnreachable();
     if (error.kind() == Core::ErrorKind::UpstreamFailed) {
-        m_gateway.poison().noteBreak(m_request.digest, m_gateway.parts().clock.now());
+        m_gateway.poison().noteBreak(m_request.digest, m_gateway.dependencies().clock.now());
         if (m_gateway.onBreak)
             m_gateway.onBreak(m_request.digest);
     }
@@ -319,7 +322,7 @@
 asio::awaitable<RequestRelay::AttemptEnd> RequestRelay::relayAnswer(Http::ClientExchange &answer,
                                                                     UpstreamLoad &load)
 {
-    const auto head = m_gateway.parts().dialect.readHead(answer.status(), answer.headers());
+    const auto head = m_gateway.dependencies().dialect.readHead(answer.status(), answer.headers());
     if (!head.attemptId.empty() && head.attemptId != m_request.caller.attemptId) {
         Core::logEvent(Core::EventId::UpstreamAnswerInvalid,
                        {{"upstream", m_plan->upstream->report().id.value()},
@@ -356,7 +359,7 @@
 
 void RequestRelay::noteUnreachable()
 {
-    const auto now = m_gateway.parts().clock.now();
+    const auto now = m_gateway.dependencies().clock.now();
     m_plan->upstream->holdUntil(
         std::max(m_plan->upstream->heldUntil(), now + Upstream::UnreachableHold));
     if (m_gateway.onUnreachable)
@@ -365,17 +368,17 @@
 
 void RequestRelay::noteRefusedByUpstream(unsigned status, const AnswerHead &head)
 {
-    const auto now = m_gateway.parts().clock.now();
+    const auto now = m_gateway.dependencies().clock.now();
     noteAttempt(head.isOtherUpstream ? "other_upstream" : "not_run",
                 std::to_string(status) + " from " + head.upstream.value() + ", believed weights "
                     + text(m_plan->upstream->weights(m_request.caller.model)));
     if (head.isOtherUpstream && head.upstream != m_plan->upstream->report().id) {
         // Another life has the address; the entry of the one before has yet to lapse.
-        m_plan->upstream->holdUntil(now
-                                    + LapsedReports * m_gateway.parts().settings.reportInterval);
+        m_plan->upstream->holdUntil(
+            now + LapsedReports * m_gateway.dependencies().settings.reportInterval);
         if (m_gateway.onHold)
             m_gateway.onHold(*m_plan->upstream,
-                             LapsedReports * m_gateway.parts().settings.reportInterval);
+                             LapsedReports * m_gateway.dependencies().settings.reportInterval);
         return;
     }
     if (!m_plan->engine)
@@ -405,7 +408,7 @@
         co_return AttemptEnd::StreamBroken;
     if (m_endReason == EndReason::CallerGone)
         co_return AttemptEnd::Ended;
-    m_gateway.metrics().firstByte.observe(m_gateway.parts().clock.now() - m_request.arrival,
+    m_gateway.metrics().firstByte.observe(m_gateway.dependencies().clock.now() - m_request.arrival,
                                           m_request.labels());
     co_await m_exchange.respond(std::move(response));
     co_return AttemptEnd::Answered;
@@ -435,7 +438,7 @@
 
 void RequestRelay::learnFirstToken(const UpstreamLoad &load)
 {
-    const auto now = m_gateway.parts().clock.now();
+    const auto now = m_gateway.dependencies().clock.now();
     if (!m_progress.firstByte) {
         m_progress.firstByte = now;
         m_gateway.metrics().firstByte.observe(now - m_request.arrival, m_request.labels());
@@ -543,7 +546,7 @@
 
 milliseconds RequestRelay::left() const
 {
-    return m_request.left(m_gateway.parts().clock.now());
+    return m_request.left(m_gateway.dependencies().clock.now());
 }
 
 } // namespace Gateway
--- a/Libraries/LibGateway/SharedLog.cpp
+++ b/Libraries/LibGateway/SharedLog.cpp
@@ -53,27 +53,29 @@
     return "beliefs";
 }
 
-SharedLog::SharedLog(Parts parts)
-    : m_parts(parts)
+SharedLog::SharedLog(Dependencies dependencies)
+    : m_dependencies(dependencies)
 { }
 
 bool SharedLog::isReader() const
 {
-    return m_parts.members.reachableBefore(ReadersKey, m_parts.members.self().dataCentre) < Readers;
+    return m_dependencies.members.reachableBefore(ReadersKey,
+                                                  m_dependencies.members.self().dataCentre)
+           < Readers;
 }
 
 bool SharedLog::mayHaveFollowers() const
 {
-    return m_parts.members.inDataCentre().size() + 1 > Readers;
+    return m_dependencies.members.inDataCentre().size() + 1 > Readers;
 }
 
 milliseconds SharedLog::boundOf(FleetTopic topic) const
 {
     switch (topic) {
     case FleetTopic::Operator:
-        return m_parts.settings.configurationBound;
+        return m_dependencies.settings.configurationBound;
     case FleetTopic::Upstreams:
-        return m_parts.settings.drainBound;
+        return m_dependencies.settings.drainBound;
     case FleetTopic::Journal:
     case FleetTopic::Beliefs:
         break;
@@ -105,11 +107,11 @@
 
 asio::awaitable<FleetPage> SharedLog::newest(FleetTopic topic)
 {
-    const auto asked = m_parts.clock.now();
-    auto page = co_await m_parts.store.newest(topic);
+    const auto asked = m_dependencies.clock.now();
+    auto page = co_await m_dependencies.store.newest(topic);
     page.asOf = asked;
     page.trouble = m_topics[topic].trouble;
-    m_parts.relay.tail(topic).restart(page.next);
+    m_dependencies.relay.tail(topic).restart(page.next);
     co_return page;
 }
 
@@ -117,14 +119,15 @@
 {
     auto &state = m_topics[topic];
     const bool isPatient = wait > 0ms;
-    const auto isStoreDue = [&] { return m_parts.clock.now() >= state.nextDirect; };
+    const auto isStoreDue = [&] { return m_dependencies.clock.now() >= state.nextDirect; };
     if (isPatient && (state.isStoreFailing ? !isStoreDue() : !isReader())) {
         if (auto page =
                 co_await readSiblings(topic, from, std::min(wait, boundOf(topic) / HoldsInBound)))
             co_return std::move(*page);
     }
     if (isPatient && !state.isStoreFailing && !isStoreDue())
-        co_await sleepFor(duration_cast<milliseconds>(state.nextDirect - m_parts.clock.now()));
+        co_await sleepFor(
+            duration_cast<milliseconds>(state.nextDirect - m_dependencies.clock.now()));
     std::optional<Core::Error> failure;
     try {
         co_return co_await readStore(topic, from, isPatient ? waitOf(topic, wait) : 0ms);
@@ -140,23 +143,23 @@
                                                 milliseconds wait)
 {
     auto &state = m_topics[topic];
-    const auto asked = m_parts.clock.now();
+    const auto asked = m_dependencies.clock.now();
     std::optional<Core::Error> failure;
     try {
-        auto page = co_await m_parts.store.read(topic, from, wait);
+        auto page = co_await m_dependencies.store.read(topic, from, wait);
         page.asOf = asked;
         page.trouble = state.trouble;
         state.isStoreFailing = false;
-        state.nextDirect = m_parts.clock.now() + pauseOf(topic);
+        state.nextDirect = m_dependencies.clock.now() + pauseOf(topic);
         if (!page.isHistoryGone)
-            m_parts.relay.tail(topic).extend(from, page);
+            m_dependencies.relay.tail(topic).extend(from, page);
         noteSource(topic, {}, "the store answers");
         co_return page;
     } catch (const Core::Error &error) {
         failure = error;
     }
     state.isStoreFailing = true;
-    state.trouble = m_parts.clock.now();
+    state.trouble = m_dependencies.clock.now();
     state.nextDirect = state.trouble + StoreRetryPause;
     throw *failure;
 }
@@ -181,20 +184,20 @@
 {
     std::string reason = "its knowledge is old";
     try {
-        auto page = co_await m_parts.relay.ask(sibling.endpoint, topic, from, wait);
-        page.asOf = std::min(page.asOf, m_parts.clock.now());
+        auto page = co_await m_dependencies.relay.ask(sibling.endpoint, topic, from, wait);
+        page.asOf = std::min(page.asOf, m_dependencies.clock.now());
         if (isUseful(topic, page)) {
             // The next one may have been served since.
-            if (page.asOf <= m_parts.relay.tail(topic).asOf())
+            if (page.asOf <= m_dependencies.relay.tail(topic).asOf())
                 ++m_turn;
-            m_parts.relay.tail(topic).extend(from, page);
+            m_dependencies.relay.tail(topic).extend(from, page);
             noteSource(topic, sibling.instance, "a sibling reads for this instance");
             co_return page;
         }
     } catch (const Core::Error &error) {
         reason = error.what();
     }
-    m_passedOver[sibling.instance] = m_parts.clock.now() + PassOverTime;
+    m_passedOver[sibling.instance] = m_dependencies.clock.now() + PassOverTime;
     Core::logEvent(Core::EventId::SiblingPassedOver, {{"sibling", sibling.instance.value()},
                                                       {"log", std::string(nameOf(topic))},
                                                       {"reason", reason}});
@@ -203,15 +206,15 @@
 
 std::optional<FleetMember> SharedLog::chooseSibling(const Topic &state) const
 {
-    const auto &self = m_parts.members.self();
+    const auto &self = m_dependencies.members.self();
     // Those of the own data centre come first; the others only help out when the store does not.
-    auto members = m_parts.members.reachable(ReadersKey, self.dataCentre);
+    auto members = m_dependencies.members.reachable(ReadersKey, self.dataCentre);
     members.resize(std::min(members.size(), Readers));
     if (state.isStoreFailing) {
-        const auto others = m_parts.members.reachable(ReadersKey, std::nullopt);
+        const auto others = m_dependencies.members.reachable(ReadersKey, std::nullopt);
         members.insert(members.end(), others.begin(), others.end());
     }
-    const auto now = m_parts.clock.now();
+    const auto now = m_dependencies.clock.now();
     std::erase_if(members, [&](const FleetMember &member) {
         const auto it = m_passedOver.find(member.instance);
         return it != m_passedOver.end() && it->second > now;
@@ -227,7 +230,7 @@
 bool SharedLog::isUseful(FleetTopic topic, const FleetPage &page) const
 {
     const auto share = m_topics.at(topic).isStoreFailing ? MostCutAgeShare : MostAgeShare;
-    return m_parts.clock.now() - page.asOf <= share * boundOf(topic);
+    return m_dependencies.clock.now() - page.asOf <= share * boundOf(topic);
 }
 
 void SharedLog::noteSource(FleetTopic topic, const Core::InstanceId &source,
@@ -248,7 +251,7 @@
 asio::awaitable<AppendOutcome> SharedLog::append(FleetTopic topic, std::string value,
                                                  std::optional<std::uint64_t> expectedEnd)
 {
-    co_return co_await m_parts.store.append(topic, std::move(value), expectedEnd);
+    co_return co_await m_dependencies.store.append(topic, std::move(value), expectedEnd);
 }
 
 } // namespace Gateway
--- a/Libraries/LibGateway/SharedLog.h
+++ b/Libraries/LibGateway/SharedLog.h
@@ -21,7 +21,7 @@
     /// Instances of a data centre that read the store themselves.
     static constexpr std::size_t Readers = 3;
 
-    struct Parts
+    struct Dependencies
     {
         FleetLog &store;
         LogRelay &relay;
@@ -31,7 +31,7 @@
         const GatewaySettings &settings;
     };
 
-    explicit SharedLog(Parts parts);
+    explicit SharedLog(Dependencies dependencies);
 
     boost::asio::awaitable<FleetPage> newest(FleetTopic topic) override;
     /// A read that does not wait always goes to the store; others are spaced so that few calls
@@ -78,7 +78,7 @@
     bool isUseful(FleetTopic topic, const FleetPage &page) const;
     void noteSource(FleetTopic topic, const Core::InstanceId &source, const std::string &reason);
 
-    Parts m_parts;
+    Dependencies m_dependencies;
     std::map<FleetTopic, Topic> m_topics;
     /// Which sibling is asked while the store does not answer; moves on when one has nothing newer.
     std::size_t m_turn = 0;
--- a/Libraries/LibGateway/SiblingExchange.cpp
+++ b/Libraries/LibGateway/SiblingExchange.cpp
@@ -66,8 +66,8 @@
     return entries;
 }
 
-template <typename Parts>
-std::vector<Wire::KeptPart> wireParts(const Parts &parts)
+template <typename PartRange>
+std::vector<Wire::KeptPart> wireParts(const PartRange &parts)
 {
     std::vector<Wire::KeptPart> entries;
     entries.reserve(parts.size());
@@ -78,8 +78,8 @@
 
 } // namespace
 
-SiblingExchange::SiblingExchange(asio::io_context &context, Parts parts)
-    : m_parts(parts)
+SiblingExchange::SiblingExchange(asio::io_context &context, Dependencies dependencies)
+    : m_dependencies(dependencies)
     , m_socket(context)
     , m_urgentTimer(context)
     , m_life(random64())
@@ -87,7 +87,7 @@
 
 void SiblingExchange::open()
 {
-    const auto &self = m_parts.members.self().endpoint;
+    const auto &self = m_dependencies.members.self().endpoint;
     const asio::ip::udp::endpoint local(self.address(), self.port());
     try {
         m_socket.open(local.protocol());
@@ -101,7 +101,7 @@
 
 std::chrono::milliseconds SiblingExchange::interval() const
 {
-    const auto &members = m_parts.members;
+    const auto &members = m_dependencies.members;
     const auto told = members.isLarge() ? members.inDataCentre().size() + 1 : members.count();
     return std::max<std::chrono::milliseconds>(LeastInterval, told * IntervalPerSibling);
 }
@@ -110,15 +110,15 @@
 {
     for (;;) {
         co_await sleepFor(interval());
-        m_parts.members.dropLapsed();
+        m_dependencies.members.dropLapsed();
         dropSilent();
-        if (!m_parts.members.isLarge()) {
+        if (!m_dependencies.members.isLarge()) {
             sendTo(allMembers(), encode());
             continue;
         }
-        const auto nearby = m_parts.members.inDataCentre();
+        const auto nearby = m_dependencies.members.inDataCentre();
         sendTo(nearby, encode());
-        if (!m_parts.members.isHub())
+        if (!m_dependencies.members.isHub())
             continue;
         sendTo(otherHubs(), encodeDataCentre());
         sendTo(nearby, encodeElsewhere());
@@ -128,7 +128,7 @@
 std::vector<FleetMember> SiblingExchange::allMembers() const
 {
     std::vector<FleetMember> members;
-    for (const auto &[instance, sibling] : m_parts.members.siblings())
+    for (const auto &[instance, sibling] : m_dependencies.members.siblings())
         members.push_back(sibling.member);
     return members;
 }
@@ -136,7 +136,7 @@
 std::vector<FleetMember> SiblingExchange::otherHubs() const
 {
     std::vector<FleetMember> hubs;
-    for (auto &[dataCentre, members] : m_parts.members.elsewhere()) {
+    for (auto &[dataCentre, members] : m_dependencies.members.elsewhere()) {
         const auto it = m_sources.find(DataCentreSource + dataCentre);
         if (it != m_sources.end() && !it->second.isSilent) {
             hubs.push_back(it->second.sender);
@@ -250,7 +250,7 @@
     for (const auto &[holder, epoch] : std::exchange(m_storeLives, {}))
         stores.emplace_back(holder, epoch);
     const auto [holds, weights] = wireNews(std::exchange(m_news, {}));
-    const auto &self = m_parts.members.self();
+    const auto &self = m_dependencies.members.self();
     flatbuffers::FlatBufferBuilder builder;
     builder.Finish(Wire::CreateSiblingReportDirect(
         builder, self.instance.value().c_str(), ++m_number, m_life, &loads, &parts, &weights,
@@ -276,7 +276,7 @@
 std::string SiblingExchange::encodeSum(const Loads &loads, const PartQueue &parts,
                                        Wire::Scope scope)
 {
-    const auto &self = m_parts.members.self();
+    const auto &self = m_dependencies.members.self();
     const auto sums = wireLoads(loads);
     const auto kept = wireParts(parts);
     flatbuffers::FlatBufferBuilder builder;
@@ -290,7 +290,7 @@
 SiblingExchange::Loads SiblingExchange::ownLoads() const
 {
     Loads loads;
-    for (const auto &[id, upstream] : m_parts.fleet.all()) {
+    for (const auto &[id, upstream] : m_dependencies.fleet.all()) {
         if (upstream->inFlight() > 0)
             loads[upstreamHash(*upstream)] = {upstream->waitingTokens(), upstream->inFlight(),
                                               upstream->memoryTokens()};
@@ -304,9 +304,9 @@
     const auto [holds, weights] = wireNews(news);
     flatbuffers::FlatBufferBuilder builder;
     builder.Finish(Wire::CreateSiblingReportDirect(
-        builder, m_parts.members.self().instance.value().c_str(), ++m_number, m_life, nullptr,
-        nullptr, &weights, &holds, nullptr, nullptr, nullptr, true, Wire::Scope::Instance, 0,
-        &news.unreachable));
+        builder, m_dependencies.members.self().instance.value().c_str(), ++m_number, m_life,
+        nullptr, nullptr, &weights, &holds, nullptr, nullptr, nullptr, true, Wire::Scope::Instance,
+        0, &news.unreachable));
     return {reinterpret_cast<const char *>(builder.GetBufferPointer()), builder.GetSize()};
 }
 
@@ -332,7 +332,8 @@
         return;
     }
     const auto *report = Wire::GetSiblingReport(bytes);
-    if (!report->instance() || report->instance()->str() == m_parts.members.self().instance.value())
+    if (!report->instance()
+        || report->instance()->str() == m_dependencies.members.self().instance.value())
         return;
     auto &sender = source(*report);
     noteMember(*report, sender);
@@ -340,7 +341,7 @@
     if (!report->is_urgent()) {
         if (sender.isSilent)
             Core::logEvent(Core::EventId::SiblingHeard, {{"sibling", report->instance()->str()}});
-        sender.heard = m_parts.clock.now();
+        sender.heard = m_dependencies.clock.now();
         sender.isSilent = false;
     }
     if (!noteReport(*report, sender))
@@ -379,7 +380,7 @@
     }
     source.sender = {Core::InstanceId(report.instance()->str()), report.data_centre()->str(),
                      endpoint.value(), report.link_megabits()};
-    m_parts.members.noteHeard(source.sender);
+    m_dependencies.members.noteHeard(source.sender);
 }
 
 bool SiblingExchange::noteReport(const Wire::SiblingReport &report, Source &source)
@@ -406,7 +407,7 @@
     if (!report.weights())
         return;
     for (const auto *entry : *report.weights()) {
-        const auto upstream = m_parts.fleet.findByHash(entry->upstream());
+        const auto upstream = m_dependencies.fleet.findByHash(entry->upstream());
         if (!upstream)
             continue;
         for (const auto &[model, version] : std::map(upstream->report().weights)) {
@@ -421,9 +422,9 @@
     if (!report.unreachable())
         return;
     for (const auto hash : *report.unreachable()) {
-        if (const auto upstream = m_parts.fleet.findByHash(hash))
+        if (const auto upstream = m_dependencies.fleet.findByHash(hash))
             upstream->noteUnreachable(report.instance()->str(), Upstream::UnreachableHold,
-                                      m_parts.clock.now());
+                                      m_dependencies.clock.now());
     }
 }
 
@@ -432,8 +433,8 @@
     if (!report.holds())
         return;
     for (const auto *hold : *report.holds()) {
-        if (const auto upstream = m_parts.fleet.findByHash(hold->upstream()))
-            upstream->holdUntil(m_parts.clock.now()
+        if (const auto upstream = m_dependencies.fleet.findByHash(hold->upstream()))
+            upstream->holdUntil(m_dependencies.clock.now()
                                 + std::chrono::milliseconds(hold->milliseconds()));
     }
 }
@@ -442,15 +443,16 @@
 {
     if (report.stores()) {
         for (const auto *store : *report.stores())
-            m_parts.stores.noteAnswer(store->holder(), store->epoch(), m_parts.clock.now());
+            m_dependencies.stores.noteAnswer(store->holder(), store->epoch(),
+                                             m_dependencies.clock.now());
     }
     if (!report.parts())
         return;
     for (const auto *entry : *report.parts()) {
         const PromptPart part {entry->chain(), entry->tokens()};
-        if (const auto upstream = m_parts.fleet.findByHash(entry->holder()))
+        if (const auto upstream = m_dependencies.fleet.findByHash(entry->holder()))
             upstream->noteKept(std::span(&part, 1));
-        else if (auto *store = m_parts.stores.find(entry->holder()))
+        else if (auto *store = m_dependencies.stores.find(entry->holder()))
             store->noteStored(std::span(&part, 1));
         if (report.scope() == Wire::Scope::Instance)
             push(m_dataCentreParts, {entry->holder(), part}, MostPartsPerSum);
@@ -482,13 +484,13 @@
     auto sums = sumOf([hearsDataCentres](const Source &source) {
         return !source.isElsewhere || !hearsDataCentres;
     });
-    for (const auto &[id, upstream] : m_parts.fleet.all())
+    for (const auto &[id, upstream] : m_dependencies.fleet.all())
         upstream->setOthersLoad(sums[upstreamHash(*upstream)]);
 }
 
 void SiblingExchange::dropSilent()
 {
-    const auto now = m_parts.clock.now();
+    const auto now = m_dependencies.clock.now();
     for (auto &[name, source] : m_sources) {
         if (source.isSilent || now - source.heard < SilentIntervals * interval())
             continue;
@@ -498,7 +500,7 @@
         applySums();
     }
     // Only hubs empty them by passing them on.
-    if (!m_parts.members.isLarge() || !m_parts.members.isHub()) {
+    if (!m_dependencies.members.isLarge() || !m_dependencies.members.isHub()) {
         m_dataCentreParts.clear();
         m_elsewhereParts.clear();
     }
--- a/Libraries/LibGateway/SiblingExchange.h
+++ b/Libraries/LibGateway/SiblingExchange.h
@@ -37,7 +37,7 @@
 class SiblingExchange
 {
 public:
-    struct Parts
+    struct Dependencies
     {
         const Core::Clock &clock;
         FleetMembers &members;
@@ -45,7 +45,7 @@
         PartStores &stores;
     };
 
-    SiblingExchange(boost::asio::io_context &context, Parts parts);
+    SiblingExchange(boost::asio::io_context &context, Dependencies dependencies);
 
     /// Opens the port. Throws Error(SettingsInvalid).
     void open();
@@ -151,7 +151,7 @@
     void applySums();
     std::chrono::milliseconds interval() const;
 
-    Parts m_parts;
+    Dependencies m_dependencies;
     boost::asio::ip::udp::socket m_socket;
     std::map<std::string, Source> m_sources;
     PartQueue m_keptParts;
--- a/Libraries/LibGateway/WeightRoller.cpp
+++ b/Libraries/LibGateway/WeightRoller.cpp
@@ -35,24 +35,25 @@
 
 } // namespace
 
-WeightRoller::WeightRoller(Parts parts)
-    : m_parts(std::move(parts))
+WeightRoller::WeightRoller(Dependencies dependencies)
+    : m_dependencies(std::move(dependencies))
 { }
 
 std::vector<WeightRoller::Task> WeightRoller::tasks() const
 {
     std::vector<Task> result;
-    const auto now = m_parts.clock.now();
-    for (const auto &[model, target] : m_parts.targets.newest()) {
-        for (const auto &[id, engine] : m_parts.fleet.all()) {
+    const auto now = m_dependencies.clock.now();
+    for (const auto &[model, target] : m_dependencies.targets.newest()) {
+        for (const auto &[id, engine] : m_dependencies.fleet.all()) {
             const auto known = engine->weights(model);
             if (known == 0 || known >= target.version || engine->report().isDraining
                 || m_isRolling.contains(id))
                 continue;
             const auto it = m_notBefore.find(id);
             if (it == m_notBefore.end() || it->second <= now)
-                result.push_back({engine, model, target.version,
-                                  m_parts.targets.outdatedSince(model, known).value_or(now)});
+                result.push_back(
+                    {engine, model, target.version,
+                     m_dependencies.targets.outdatedSince(model, known).value_or(now)});
         }
     }
     // The longest outdated first; of those, engines with little to finish are ready soonest.
@@ -70,12 +71,12 @@
         auto open = tasks();
         if (open.empty() && m_running == 0)
             continue;
-        const auto named = open.empty() ? m_parts.clock.now() : open.front().since;
+        const auto named = open.empty() ? m_dependencies.clock.now() : open.front().since;
         const bool isHolder = co_await ensureLease(named);
         if (!isHolder)
             continue;
         std::size_t engines = 0;
-        for (const auto &[id, engine] : m_parts.fleet.all())
+        for (const auto &[id, engine] : m_dependencies.fleet.all())
             engines += engine->report().weights.empty() ? 0 : 1;
         const auto most = std::max<std::size_t>(1, engines / RollingPart);
         for (auto &task : open) {
@@ -92,20 +93,20 @@
 bool WeightRoller::isTurn(Core::Clock::Monotonic named) const
 {
     // Members that do not answer would only make the others wait for their turn.
-    const auto before = m_parts.members.reachableBefore("orders");
-    return m_parts.clock.now() >= named + before * TurnStep;
+    const auto before = m_dependencies.members.reachableBefore("orders");
+    return m_dependencies.clock.now() >= named + before * TurnStep;
 }
 
 asio::awaitable<bool> WeightRoller::ensureLease(Core::Clock::Monotonic named)
 {
-    const auto now = m_parts.clock.now();
-    const auto &lease = m_parts.journal.lease();
+    const auto now = m_dependencies.clock.now();
+    const auto &lease = m_dependencies.journal.lease();
     if (lease.token(now, RenewMargin))
         co_return true;
-    const bool isOwn = lease.lastHolder() == m_parts.self;
+    const bool isOwn = lease.lastHolder() == m_dependencies.self;
     if (!lease.mayTake(now) || (!isOwn && !isTurn(named)))
         co_return false;
-    co_return co_await m_parts.journal.takeLease();
+    co_return co_await m_dependencies.journal.takeLease();
 }
 
 asio::awaitable<void> WeightRoller::roll(Task task)
@@ -122,7 +123,7 @@
     if (!failure.empty()) {
         Core::logEvent(Core::EventId::OrderUnanswered,
                        {{"upstream", id.value()}, {"reason", failure}});
-        m_parts.metrics.orders.add(1, {}, "unanswered");
+        m_dependencies.metrics.orders.add(1, {}, "unanswered");
         backOff(task, FailurePause);
     }
     task.engine->holdUntil(Core::Clock::Monotonic::min());
@@ -134,7 +135,7 @@
 
 asio::awaitable<EngineState> WeightRoller::stateOf(Upstream &engine)
 {
-    auto state = co_await m_parts.engines.state(engine.report());
+    auto state = co_await m_dependencies.engines.state(engine.report());
     noteWeights(engine, state);
     co_return state;
 }
@@ -173,21 +174,22 @@
         backOff(task, ConflictPause);
         co_return false;
     }
-    task.engine->holdUntil(m_parts.clock.now() + HoldTime);
+    task.engine->holdUntil(m_dependencies.clock.now() + HoldTime);
     if (onHold)
         onHold(*task.engine, HoldTime);
     // An order ends the wait of what has not begun; those requests would have to go elsewhere.
     co_await sleepFor(timeToBegin(*task.engine));
-    const auto token = m_parts.journal.lease().token(m_parts.clock.now(), OrderMargin);
+    const auto token =
+        m_dependencies.journal.lease().token(m_dependencies.clock.now(), OrderMargin);
     if (!token)
         co_return false;
     WeightsOrder order;
     order.model = task.model;
     order.version = task.version;
-    order.holder = m_parts.self.value();
+    order.holder = m_dependencies.self.value();
     order.fencingToken = *token;
     order.expectedOrders = std::max(state.ordersAccepted, m_accepted[id]);
-    const auto outcome = co_await m_parts.engines.order(task.engine->report(), order);
+    const auto outcome = co_await m_dependencies.engines.order(task.engine->report(), order);
     Core::logEvent(Core::EventId::OrderSent,
                    {{"upstream", id.value()},
                     {"model", task.model},
@@ -195,11 +197,11 @@
                     {"token", std::to_string(*token)},
                     {"outcome", std::to_string(static_cast<int>(outcome))}});
     if (outcome == OrderOutcome::Accepted) {
-        m_parts.metrics.orders.add(1, {}, "accepted");
+        m_dependencies.metrics.orders.add(1, {}, "accepted");
         m_accepted[id] = order.expectedOrders + 1;
         co_return true;
     }
-    m_parts.metrics.orders.add(1, {}, "refused");
+    m_dependencies.metrics.orders.add(1, {}, "refused");
     // Another life of the engine counts anew, and its own word is as good as ours then.
     m_accepted.erase(id);
     if (outcome == OrderOutcome::AlreadyHolds) {
@@ -214,24 +216,24 @@
 std::chrono::milliseconds WeightRoller::timeToBegin(const Upstream &engine) const
 {
     const auto tokens = engine.tokensBefore(false);
-    const auto reading = m_parts.expectedFirst ? m_parts.expectedFirst(engine, tokens)
-                                               : EngineModel::Milliseconds(0);
+    const auto reading = m_dependencies.expectedFirst ? m_dependencies.expectedFirst(engine, tokens)
+                                                      : EngineModel::Milliseconds(0);
     return std::clamp(std::chrono::ceil<std::chrono::milliseconds>(reading), LeastHoldNotice,
                       MostHoldNotice);
 }
 
 asio::awaitable<void> WeightRoller::awaitWeights(const Task &task)
 {
-    const auto begin = m_parts.clock.now();
-    while (m_parts.clock.now() - begin < MostOrderTime) {
+    const auto begin = m_dependencies.clock.now();
+    while (m_dependencies.clock.now() - begin < MostOrderTime) {
         co_await sleepFor(StatePause);
         if (task.engine->isGone())
             co_return;
         co_await stateOf(*task.engine);
         if (task.engine->weights(task.model) < task.version)
             continue;
-        const auto taken =
-            std::chrono::duration_cast<std::chrono::milliseconds>(m_parts.clock.now() - begin);
+        const auto taken = std::chrono::duration_cast<std::chrono::milliseconds>(
+            m_dependencies.clock.now() - begin);
         Core::logEvent(Core::EventId::WeightsInPlace,
                        {{"upstream", task.engine->report().id.value()},
                         {"version", std::to_string(task.version)},
@@ -243,7 +245,7 @@
 
 void WeightRoller::backOff(const Task &task, std::chrono::milliseconds time)
 {
-    m_notBefore[task.engine->report().id] = m_parts.clock.now() + time;
+    m_notBefore[task.engine->report().id] = m_dependencies.clock.now() + time;
 }
 
 } // namespace Gateway
--- a/Libraries/LibGateway/WeightRoller.h
+++ b/Libraries/LibGateway/WeightRoller.h
@@ -17,7 +17,7 @@
 class WeightRoller
 {
 public:
-    struct Parts
+    struct Dependencies
     {
         FleetJournal &journal;
         const FleetMembers &members;
@@ -32,7 +32,7 @@
             expectedFirst;
     };
 
-    explicit WeightRoller(Parts parts);
+    explicit WeightRoller(Dependencies dependencies);
 
     /// Works until the process ends.
     boost::asio::awaitable<void> run();
@@ -69,7 +69,7 @@
     void noteWeights(Upstream &engine, const EngineState &state) const;
     void backOff(const Task &task, std::chrono::milliseconds time);
 
-    Parts m_parts;
+    Dependencies m_dependencies;
     std::map<Core::UpstreamId, Core::Clock::Monotonic> m_notBefore;
     /// Orders that engines are known to have accepted, where their own word may be older.
     std::map<Core::UpstreamId, std::uint64_t> m_accepted;
--- a/Tests/LibGateway/TestSiblings.cpp
+++ b/Tests/LibGateway/TestSiblings.cpp
@@ -26,7 +26,7 @@
                                   linkMegabits},
             clock);
         exchange = std::make_unique<Gateway::SiblingExchange>(
-            context, Gateway::SiblingExchange::Parts {clock, *members, fleet, stores});
+            context, Gateway::SiblingExchange::Dependencies {clock, *members, fleet, stores});
         clock.advance(1h);
         Gateway::UpstreamReport report;
         report.id = Core::UpstreamId("w1");
