--- a/Libraries/LibGateway/AcceptedRequest.h
+++ b/Libraries/LibGateway/AcceptedRequest.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/Error.h>
 #include <LibGateway/ConfigurationState.h>
-#include <LibGateway/PrefixMemory.h>
+#include <LibGateway/PrefixCacheEstimate.h>
 #include <LibGateway/RequestDialect.h>
 #include <LibMetrics/Labels.h>
 
--- a/Libraries/LibGateway/BeliefSnapshot.cpp
+++ b/Libraries/LibGateway/CacheSnapshot.cpp
@@ -1,6 +1,6 @@
 #include <LibCore/EventLog.h>
 #include <LibCore/Hash.h>
-#include <LibGateway/BeliefSnapshot.h>
+#include <LibGateway/CacheSnapshot.h>
 #include <LibGateway/FleetMessages_generated.h>
 
 #include <algorithm>
@@ -47,7 +47,7 @@
 
 } // namespace
 
-std::string encodeBeliefs(const UpstreamFleet &fleet, const PartStores &stores)
+std::string encodeCacheSnapshot(const UpstreamFleet &fleet, const KvCacheStores &stores)
 {
     const auto share =
         MostParts / std::max<std::size_t>(1, fleet.all().size() + stores.all().size());
@@ -70,7 +70,8 @@
     return {reinterpret_cast<const char *>(builder.GetBufferPointer()), builder.GetSize()};
 }
 
-std::size_t applyBeliefs(std::string_view bytes, const UpstreamFleet &fleet, PartStores &stores)
+std::size_t applyCacheSnapshot(std::string_view bytes, const UpstreamFleet &fleet,
+                               KvCacheStores &stores)
 {
     const auto *data = reinterpret_cast<const std::uint8_t *>(bytes.data());
     flatbuffers::Verifier verifier(data, bytes.size());
@@ -88,7 +89,7 @@
         auto *store = stores.find(holder->holder());
         if (engine && stateOf(*engine) == holder->state()) {
             for (const auto &part : parts)
-                engine->noteKept(std::span(&part, 1));
+                engine->noteCached(std::span(&part, 1));
             taken += parts.size();
         } else if (store && store->epoch() == holder->state()) {
             store->noteStored(parts);
--- a/Libraries/LibGateway/BeliefSnapshot.h
+++ b/Libraries/LibGateway/CacheSnapshot.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibGateway/PartStores.h>
+#include <LibGateway/KvCacheStores.h>
 #include <LibGateway/UpstreamFleet.h>
 
 #include <string>
@@ -10,11 +10,12 @@
 
 /// Writes down what engines and stores of parts are believed to keep, the most recently used parts
 /// of each. Empty when nothing is believed.
-std::string encodeBeliefs(const UpstreamFleet &fleet, const PartStores &stores);
+std::string encodeCacheSnapshot(const UpstreamFleet &fleet, const KvCacheStores &stores);
 
 /// Takes over beliefs about engines that are still in the same life with the same weights, and
 /// about stores in the same life. Returns the number of parts taken over; none from bytes that are
 /// no snapshot, which is logged.
-std::size_t applyBeliefs(std::string_view bytes, const UpstreamFleet &fleet, PartStores &stores);
+std::size_t applyCacheSnapshot(std::string_view bytes, const UpstreamFleet &fleet,
+                               KvCacheStores &stores);
 
 } // namespace Gateway
--- a/Libraries/LibGateway/BeliefKeeper.cpp
+++ b/Libraries/LibGateway/CacheSnapshotService.cpp
@@ -1,6 +1,6 @@
 #include <LibCore/EventLog.h>
-#include <LibGateway/BeliefKeeper.h>
-#include <LibGateway/BeliefSnapshot.h>
+#include <LibGateway/CacheSnapshot.h>
+#include <LibGateway/CacheSnapshotService.h>
 #include <LibGateway/FleetWatcher.h>
 
 namespace Gateway {
@@ -19,11 +19,11 @@
 
 } // namespace
 
-BeliefKeeper::BeliefKeeper(Dependencies dependencies)
+CacheSnapshotService::CacheSnapshotService(Dependencies dependencies)
     : m_dependencies(dependencies)
 { }
 
-std::chrono::milliseconds BeliefKeeper::pause() const
+std::chrono::milliseconds CacheSnapshotService::pause() const
 {
     // In a large fleet each data centre has a writer, as only its siblings are heard.
     const auto writers =
@@ -31,7 +31,7 @@
     return WritePause * static_cast<int>(writers);
 }
 
-asio::awaitable<void> BeliefKeeper::run()
+asio::awaitable<void> CacheSnapshotService::run()
 {
     while (!m_hasTaken) {
         co_await sleepFor(LookPause);
@@ -45,7 +45,7 @@
     }
 }
 
-asio::awaitable<void> BeliefKeeper::takeOver()
+asio::awaitable<void> CacheSnapshotService::takeOver()
 {
     const auto begin = m_dependencies.clock.now();
     const auto isAwaited = [this] {
@@ -59,13 +59,13 @@
         co_await sleepFor(LookPause);
     std::string failure;
     try {
-        const auto page = co_await m_dependencies.log.newest(FleetTopic::Beliefs);
+        const auto page = co_await m_dependencies.log.newest(FleetTopic::CacheSnapshots);
         m_hasTaken = true;
         for (const auto &record : page.records) {
             if (!record.value)
                 continue;
             const auto taken =
-                applyBeliefs(*record.value, m_dependencies.fleet, m_dependencies.stores);
+                applyCacheSnapshot(*record.value, m_dependencies.fleet, m_dependencies.stores);
             Core::logEvent(Core::EventId::SnapshotTaken,
                            {{"log", "beliefs"}, {"parts", std::to_string(taken)}});
         }
@@ -78,14 +78,15 @@
     co_await sleepFor(WritePause);
 }
 
-asio::awaitable<void> BeliefKeeper::write()
+asio::awaitable<void> CacheSnapshotService::write()
 {
-    auto snapshot = encodeBeliefs(m_dependencies.fleet, m_dependencies.stores);
+    auto snapshot = encodeCacheSnapshot(m_dependencies.fleet, m_dependencies.stores);
     if (snapshot.empty())
         co_return;
     std::string failure;
     try {
-        co_await m_dependencies.log.append(FleetTopic::Beliefs, std::move(snapshot), std::nullopt);
+        co_await m_dependencies.log.append(FleetTopic::CacheSnapshots, std::move(snapshot),
+                                           std::nullopt);
     } catch (const Core::Error &error) {
         failure = error.what();
     }
--- a/Libraries/LibGateway/BeliefKeeper.h
+++ b/Libraries/LibGateway/CacheSnapshotService.h
@@ -2,14 +2,14 @@
 
 #include <LibGateway/FleetLog.h>
 #include <LibGateway/FleetMembers.h>
-#include <LibGateway/PartStores.h>
+#include <LibGateway/KvCacheStores.h>
 #include <LibGateway/UpstreamFleet.h>
 
 namespace Gateway {
 
 /// Keeps the newest snapshot of beliefs about cached parts in the store, so that an instance that
 /// starts need not learn them anew, even when all instances start at once. One instance writes.
-class BeliefKeeper
+class CacheSnapshotService
 {
 public:
     struct Dependencies
@@ -17,11 +17,11 @@
         FleetLog &log;
         const FleetMembers &members;
         UpstreamFleet &fleet;
-        PartStores &stores;
+        KvCacheStores &stores;
         const Core::Clock &clock;
     };
 
-    explicit BeliefKeeper(Dependencies dependencies);
+    explicit CacheSnapshotService(Dependencies dependencies);
 
     /// Takes over the snapshot once the upstreams are known, and then writes in its turn until the
     /// process ends.
--- a/Libraries/LibGateway/FleetLog.h
+++ b/Libraries/LibGateway/FleetLog.h
@@ -21,7 +21,7 @@
     /// What the instances tell each other: members, leases, breaks.
     Journal,
     /// The newest snapshot of what engines and stores of parts are believed to keep, under one key.
-    Beliefs,
+    CacheSnapshots,
 };
 
 /// One record. Topics that keep the newest record of each key set the key; a record without a value
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -5,7 +5,7 @@
 #include <LibGateway/EngineModel.h>
 #include <LibGateway/GatewayMetrics.h>
 #include <LibGateway/GatewaySettings.h>
-#include <LibGateway/PartStores.h>
+#include <LibGateway/KvCacheStores.h>
 #include <LibGateway/PoisonLedger.h>
 #include <LibGateway/RequestDialect.h>
 #include <LibGateway/RetryAllowance.h>
@@ -61,7 +61,7 @@
 
     const GatewayDependencies &dependencies() const { return m_dependencies; }
     GatewayMetrics &metrics() { return m_metrics; }
-    PartStores &stores() { return m_stores; }
+    KvCacheStores &stores() { return m_stores; }
     PoisonLedger &poison() { return m_poison; }
     EngineModel &engineModel(const std::string &service) { return m_models[service]; }
     RetryAllowance &retries(const std::string &service) { return m_retries[service]; }
@@ -71,8 +71,8 @@
     std::function<void(std::uint64_t)> onBreak;
     /// Called when an engine has read a prompt's parts.
     std::function<void(const Upstream &, std::span<const PromptPart>)> onPartsRead;
-    /// Called when an engine has saved a prompt's parts, as PartStore::storedParts() gives them.
-    std::function<void(const PartStore &, std::span<const PromptPart>)> onPartsStored;
+    /// Called when an engine has saved a prompt's parts, as KvCacheStore::storedParts() gives them.
+    std::function<void(const KvCacheStore &, std::span<const PromptPart>)> onPartsStored;
     /// Called when an upstream is to get nothing for a while.
     std::function<void(const Upstream &, std::chrono::milliseconds)> onHold;
     /// Called when an upstream could not be reached.
@@ -86,7 +86,7 @@
 private:
     GatewayDependencies m_dependencies;
     GatewayMetrics m_metrics;
-    PartStores m_stores;
+    KvCacheStores m_stores;
     PoisonLedger m_poison;
     std::map<std::string, EngineModel> m_models;
     std::map<std::string, RetryAllowance> m_retries;
--- a/Libraries/LibGateway/GatewayConfiguration.h
+++ b/Libraries/LibGateway/GatewayConfiguration.h
@@ -75,8 +75,8 @@
     unsigned maxConnections = 64;
     std::optional<EngineLimits> engine;
     /// The address of a store of cached prompt parts; such a service has no upstreams.
-    std::optional<Http::Endpoint> partStore;
-    std::uint64_t partStoreTokens = 0;
+    std::optional<Http::Endpoint> kvCacheStore;
+    std::uint64_t kvCacheStoreTokens = 0;
 };
 
 /// A team that calls with keys of its own.
--- a/Libraries/LibGateway/GatewayDaemon.cpp
+++ b/Libraries/LibGateway/GatewayDaemon.cpp
@@ -50,8 +50,8 @@
           [this] { applyConfiguration(); })
     , m_journal(m_log, m_interfaces.clock, m_settings, m_gateway.poison(), m_members)
     , m_siblings(m_threads.at(0), {m_interfaces.clock, m_members, m_fleet, m_gateway.stores()})
-    , m_storeWatch({m_gateway.stores(), m_interfaces.engines, m_members, m_interfaces.clock})
-    , m_beliefs({m_log, m_members, m_fleet, m_gateway.stores(), m_interfaces.clock})
+    , m_storeMonitor({m_gateway.stores(), m_interfaces.engines, m_members, m_interfaces.clock})
+    , m_cacheSnapshots({m_log, m_members, m_fleet, m_gateway.stores(), m_interfaces.clock})
     , m_roller({m_journal, m_members, m_interfaces.engines, m_fleet, m_weights, m_interfaces.clock,
                 m_gateway.metrics(), m_settings.instance})
 {
@@ -107,10 +107,10 @@
     asio::co_spawn(context, m_siblings.send(), asio::detached);
     asio::co_spawn(context, m_siblings.sendUrgent(), asio::detached);
     asio::co_spawn(context, m_siblings.receive(), asio::detached);
-    asio::co_spawn(context, m_beliefs.run(), asio::detached);
+    asio::co_spawn(context, m_cacheSnapshots.run(), asio::detached);
     asio::co_spawn(context, m_roller.run(), asio::detached);
     asio::co_spawn(context, countInstances(), asio::detached);
-    asio::co_spawn(context, m_storeWatch.run(), asio::detached);
+    asio::co_spawn(context, m_storeMonitor.run(), asio::detached);
     asio::co_spawn(context, watchSettings(), asio::detached);
 }
 
@@ -120,10 +120,10 @@
     m_gateway.onPartsRead = [this](const Upstream &engine, std::span<const PromptPart> parts) {
         m_siblings.tellParts(engine, parts);
     };
-    m_gateway.onPartsStored = [this](const PartStore &store, std::span<const PromptPart> parts) {
+    m_gateway.onPartsStored = [this](const KvCacheStore &store, std::span<const PromptPart> parts) {
         m_siblings.tellStored(store, parts);
     };
-    m_storeWatch.onAnswer = [this](std::uint64_t holder, std::uint64_t epoch) {
+    m_storeMonitor.onAnswer = [this](std::uint64_t holder, std::uint64_t epoch) {
         m_siblings.tellStoreLife(holder, epoch);
     };
     m_gateway.onUnreachable = [this](const Upstream &upstream) {
@@ -224,10 +224,10 @@
     server.requestTime = limits.headerTime;
     server.idleTime = limits.idleTime;
     m_callers->setLimits(server);
-    std::vector<PartStores::Place> stores;
+    std::vector<KvCacheStores::Place> stores;
     for (const auto &[name, service] : m_configuration.current()->services) {
-        if (service.partStore)
-            stores.push_back({*service.partStore, service.partStoreTokens});
+        if (service.kvCacheStore)
+            stores.push_back({*service.kvCacheStore, service.kvCacheStoreTokens});
     }
     m_gateway.stores().configure(stores);
 }
--- a/Libraries/LibGateway/GatewayDaemon.h
+++ b/Libraries/LibGateway/GatewayDaemon.h
@@ -1,12 +1,12 @@
 #pragma once
 
 #include <LibCore/IoThreads.h>
-#include <LibGateway/BeliefKeeper.h>
+#include <LibGateway/CacheSnapshotService.h>
 #include <LibGateway/EngineControl.h>
 #include <LibGateway/FleetJournal.h>
 #include <LibGateway/FleetWatcher.h>
 #include <LibGateway/Gateway.h>
-#include <LibGateway/PartStoreWatch.h>
+#include <LibGateway/KvCacheStoreMonitor.h>
 #include <LibGateway/SharedLog.h>
 #include <LibGateway/SiblingExchange.h>
 #include <LibGateway/WeightRoller.h>
@@ -81,8 +81,8 @@
     FleetWatcher m_watcher;
     FleetJournal m_journal;
     SiblingExchange m_siblings;
-    PartStoreWatch m_storeWatch;
-    BeliefKeeper m_beliefs;
+    KvCacheStoreMonitor m_storeMonitor;
+    CacheSnapshotService m_cacheSnapshots;
     WeightRoller m_roller;
     std::unique_ptr<Http::Server> m_callers;
     std::unique_ptr<Http::Server> m_readiness;
--- a/Libraries/LibGateway/GatewayMetrics.h
+++ b/Libraries/LibGateway/GatewayMetrics.h
@@ -25,8 +25,8 @@
                                "end"};
     Metrics::Counter promptTokens {"jujube_gateway_prompt_tokens_total",
                                    "Prompt tokens sent to engines."};
-    Metrics::Counter keptTokens {"jujube_gateway_kept_tokens_total",
-                                 "Of them, tokens that the engine was believed to keep."};
+    Metrics::Counter cachedTokens {"jujube_gateway_kept_tokens_total",
+                                   "Of them, tokens that the engine was believed to keep."};
     Metrics::Counter orders {"jujube_gateway_orders_total", "Orders to engines by outcome.",
                              "outcome"};
     Metrics::DurationHistogram firstByte {"jujube_gateway_first_byte_seconds",
--- a/Libraries/LibGateway/PartStore.cpp
+++ b/Libraries/LibGateway/KvCacheStore.cpp
@@ -1,5 +1,5 @@
 #include <LibCore/Hash.h>
-#include <LibGateway/PartStore.h>
+#include <LibGateway/KvCacheStore.h>
 
 #include <string_view>
 #include <utility>
@@ -16,16 +16,16 @@
 
 } // namespace
 
-PartStore::PartStore(Http::Endpoint endpoint)
+KvCacheStore::KvCacheStore(Http::Endpoint endpoint)
     : m_endpoint(std::move(endpoint))
 { }
 
-std::uint64_t PartStore::holderOf(const Http::Endpoint &endpoint)
+std::uint64_t KvCacheStore::holderOf(const Http::Endpoint &endpoint)
 {
     return Core::hash64(Http::formatEndpoint(endpoint));
 }
 
-bool PartStore::noteAnswer(std::uint64_t epoch)
+bool KvCacheStore::noteAnswer(std::uint64_t epoch)
 {
     const bool isNewLife = m_epoch && *m_epoch != epoch;
     if (isNewLife)
@@ -34,18 +34,18 @@
     return !std::exchange(m_isAnswering, true) || isNewLife;
 }
 
-bool PartStore::noteSilence()
+bool KvCacheStore::noteSilence()
 {
     return std::exchange(m_isAnswering, false);
 }
 
-unsigned PartStore::storedTokens(std::span<const PromptPart> parts, std::uint64_t weights) const
+unsigned KvCacheStore::storedTokens(std::span<const PromptPart> parts, std::uint64_t weights) const
 {
-    return m_isAnswering ? m_memory.keptTokens(storedParts(parts, weights)) : 0;
+    return m_isAnswering ? m_memory.cachedTokens(storedParts(parts, weights)) : 0;
 }
 
-std::vector<PromptPart> PartStore::storedParts(std::span<const PromptPart> parts,
-                                               std::uint64_t weights)
+std::vector<PromptPart> KvCacheStore::storedParts(std::span<const PromptPart> parts,
+                                                  std::uint64_t weights)
 {
     std::vector<PromptPart> stored(parts.begin(), parts.end());
     for (auto &part : stored)
--- a/Libraries/LibGateway/PartStore.h
+++ b/Libraries/LibGateway/KvCacheStore.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibGateway/PrefixMemory.h>
+#include <LibGateway/PrefixCacheEstimate.h>
 #include <LibHttp/Endpoint.h>
 
 #include <cstdint>
@@ -12,13 +12,13 @@
 
 /// What one store of cached prompt parts is believed to hold. It outlives engines and their
 /// weights, so that its parts are told apart by the weights that made them.
-class PartStore
+class KvCacheStore
 {
 public:
     /// Prompts that share fewer tokens are read sooner than the store's room for them is worth.
     static constexpr unsigned LeastTokens = 1'000;
 
-    explicit PartStore(Http::Endpoint endpoint);
+    explicit KvCacheStore(Http::Endpoint endpoint);
 
     /// Stands for the store in siblings' news.
     static std::uint64_t holderOf(const Http::Endpoint &endpoint);
@@ -41,13 +41,13 @@
     /// The parts as the store tells them apart.
     static std::vector<PromptPart> storedParts(std::span<const PromptPart> parts,
                                                std::uint64_t weights);
-    const PrefixMemory &memory() const { return m_memory; }
+    const PrefixCacheEstimate &memory() const { return m_memory; }
     /// Notes that it holds parts, as storedParts() gives them.
     void noteStored(std::span<const PromptPart> parts) { m_memory.noteUse(parts); }
 
 private:
     Http::Endpoint m_endpoint;
-    PrefixMemory m_memory;
+    PrefixCacheEstimate m_memory;
     std::optional<std::uint64_t> m_epoch;
     bool m_isAnswering = false;
 };
--- a/Libraries/LibGateway/PartStoreWatch.cpp
+++ b/Libraries/LibGateway/KvCacheStoreMonitor.cpp
@@ -1,6 +1,6 @@
 #include <LibCore/EventLog.h>
 #include <LibGateway/FleetWatcher.h>
-#include <LibGateway/PartStoreWatch.h>
+#include <LibGateway/KvCacheStoreMonitor.h>
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -25,11 +25,11 @@
 
 } // namespace
 
-PartStoreWatch::PartStoreWatch(Dependencies dependencies)
+KvCacheStoreMonitor::KvCacheStoreMonitor(Dependencies dependencies)
     : m_dependencies(dependencies)
 { }
 
-bool PartStoreWatch::isAsker(const PartStore &store) const
+bool KvCacheStoreMonitor::isAsker(const KvCacheStore &store) const
 {
     // In a large fleet only the siblings of the own data centre are heard, and each one has askers.
     const auto dataCentres =
@@ -38,7 +38,7 @@
     return m_dependencies.members.reachableBefore(Http::formatEndpoint(store.endpoint())) < most;
 }
 
-asio::awaitable<void> PartStoreWatch::run()
+asio::awaitable<void> KvCacheStoreMonitor::run()
 {
     for (;;) {
         for (const auto &[holder, store] : m_dependencies.stores.all()) {
@@ -56,7 +56,7 @@
     }
 }
 
-asio::awaitable<void> PartStoreWatch::follow(std::uint64_t holder)
+asio::awaitable<void> KvCacheStoreMonitor::follow(std::uint64_t holder)
 {
     std::uint64_t position = 0;
     for (;;) {
@@ -69,9 +69,9 @@
     m_followed.erase(holder);
 }
 
-asio::awaitable<void> PartStoreWatch::ask(Http::Endpoint endpoint, std::uint64_t &position)
+asio::awaitable<void> KvCacheStoreMonitor::ask(Http::Endpoint endpoint, std::uint64_t &position)
 {
-    const auto holder = PartStore::holderOf(endpoint);
+    const auto holder = KvCacheStore::holderOf(endpoint);
     std::string failure;
     try {
         const auto epoch = co_await m_dependencies.engines.storeEpoch(endpoint, position);
--- a/Libraries/LibGateway/PartStoreWatch.h
+++ b/Libraries/LibGateway/KvCacheStoreMonitor.h
@@ -2,7 +2,7 @@
 
 #include <LibGateway/EngineControl.h>
 #include <LibGateway/FleetMembers.h>
-#include <LibGateway/PartStores.h>
+#include <LibGateway/KvCacheStores.h>
 
 #include <boost/asio/awaitable.hpp>
 
@@ -13,18 +13,18 @@
 
 /// Keeps in touch with the stores of prompt parts. A store bears only some calls at once, so a few
 /// instances ask each store and tell the others.
-class PartStoreWatch
+class KvCacheStoreMonitor
 {
 public:
     struct Dependencies
     {
-        PartStores &stores;
+        KvCacheStores &stores;
         EngineControl &engines;
         const FleetMembers &members;
         const Core::Clock &clock;
     };
 
-    explicit PartStoreWatch(Dependencies dependencies);
+    explicit KvCacheStoreMonitor(Dependencies dependencies);
 
     /// Works until the process ends.
     boost::asio::awaitable<void> run();
@@ -34,7 +34,7 @@
 
 private:
     /// Whether this instance is one of the few that ask the store.
-    bool isAsker(const PartStore &store) const;
+    bool isAsker(const KvCacheStore &store) const;
     boost::asio::awaitable<void> follow(std::uint64_t holder);
     boost::asio::awaitable<void> ask(Http::Endpoint endpoint, std::uint64_t &position);
 
--- a/Libraries/LibGateway/PartStores.cpp
+++ b/Libraries/LibGateway/KvCacheStores.cpp
@@ -1,15 +1,15 @@
 #include <LibCore/Hash.h>
-#include <LibGateway/PartStores.h>
+#include <LibGateway/KvCacheStores.h>
 
 #include <algorithm>
 
 namespace Gateway {
 
-void PartStores::configure(const std::vector<Place> &places)
+void KvCacheStores::configure(const std::vector<Place> &places)
 {
     Stores stores;
     for (const auto &place : places) {
-        const auto holder = PartStore::holderOf(place.endpoint);
+        const auto holder = KvCacheStore::holderOf(place.endpoint);
         if (auto known = m_stores.extract(holder))
             stores.insert(std::move(known));
         auto &store = stores.try_emplace(holder, place.endpoint).first->second;
@@ -19,9 +19,9 @@
     std::erase_if(m_heard, [this](const auto &item) { return !m_stores.contains(item.first); });
 }
 
-PartStore *PartStores::storeFor(std::uint64_t sessionKey)
+KvCacheStore *KvCacheStores::storeFor(std::uint64_t sessionKey)
 {
-    PartStore *best = nullptr;
+    KvCacheStore *best = nullptr;
     std::uint64_t bestRank = 0;
     for (auto &[holder, store] : m_stores) {
         const auto rank = Core::hash64(Http::formatEndpoint(store.endpoint()), sessionKey);
@@ -33,13 +33,14 @@
     return best;
 }
 
-PartStore *PartStores::find(std::uint64_t holder)
+KvCacheStore *KvCacheStores::find(std::uint64_t holder)
 {
     const auto it = m_stores.find(holder);
     return it == m_stores.end() ? nullptr : &it->second;
 }
 
-bool PartStores::noteAnswer(std::uint64_t holder, std::uint64_t epoch, Core::Clock::Monotonic now)
+bool KvCacheStores::noteAnswer(std::uint64_t holder, std::uint64_t epoch,
+                               Core::Clock::Monotonic now)
 {
     auto *store = find(holder);
     if (!store)
@@ -48,8 +49,8 @@
     return store->noteAnswer(epoch);
 }
 
-std::vector<std::uint64_t> PartStores::dropSilent(std::chrono::milliseconds patience,
-                                                  Core::Clock::Monotonic now)
+std::vector<std::uint64_t> KvCacheStores::dropSilent(std::chrono::milliseconds patience,
+                                                     Core::Clock::Monotonic now)
 {
     std::vector<std::uint64_t> silent;
     for (auto &[holder, store] : m_stores) {
--- a/Libraries/LibGateway/PartStores.h
+++ b/Libraries/LibGateway/KvCacheStores.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibCore/Clock.h>
-#include <LibGateway/PartStore.h>
+#include <LibGateway/KvCacheStore.h>
 
 #include <functional>
 #include <map>
@@ -10,7 +10,7 @@
 
 /// The stores of cached prompt parts, of which a site has none, one or several. Each session's
 /// parts go to one of them, on which all instances agree without talking.
-class PartStores
+class KvCacheStores
 {
 public:
     struct Place
@@ -18,15 +18,15 @@
         Http::Endpoint endpoint;
         std::uint64_t capacityTokens = 0;
     };
-    /// Stores by their holder, as PartStore::holderOf() gives it.
-    using Stores = std::map<std::uint64_t, PartStore>;
+    /// Stores by their holder, as KvCacheStore::holderOf() gives it.
+    using Stores = std::map<std::uint64_t, KvCacheStore>;
 
     /// Sets which stores there are. Those that stay keep what is known of them.
     void configure(const std::vector<Place> &places);
     /// The store for a session's parts, among those that answer; null when none does.
-    PartStore *storeFor(std::uint64_t sessionKey);
+    KvCacheStore *storeFor(std::uint64_t sessionKey);
     /// Null when no such store is configured.
-    PartStore *find(std::uint64_t holder);
+    KvCacheStore *find(std::uint64_t holder);
     const Stores &all() const { return m_stores; }
 
     /// Notes an answer of the store in a life with this epoch, as seen here or told by a sibling.
--- a/Libraries/LibGateway/PrefixMemory.cpp
+++ b/Libraries/LibGateway/PrefixCacheEstimate.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/PrefixMemory.h>
+#include <LibGateway/PrefixCacheEstimate.h>
 
 #include <algorithm>
 #include <iterator>
@@ -13,7 +13,7 @@
     return total;
 }
 
-unsigned PrefixMemory::keptTokens(std::span<const PromptPart> parts) const
+unsigned PrefixCacheEstimate::cachedTokens(std::span<const PromptPart> parts) const
 {
     unsigned kept = 0;
     for (const auto &part : parts) {
@@ -24,7 +24,7 @@
     return kept;
 }
 
-void PrefixMemory::noteUse(std::span<const PromptPart> parts)
+void PrefixCacheEstimate::noteUse(std::span<const PromptPart> parts)
 {
     // The last parts are touched first, so that a part never outlives one that it builds on.
     for (auto it = parts.rbegin(); it != parts.rend(); ++it) {
@@ -44,13 +44,13 @@
     }
 }
 
-std::vector<PromptPart> PrefixMemory::newest(std::size_t count) const
+std::vector<PromptPart> PrefixCacheEstimate::newest(std::size_t count) const
 {
     const auto left = m_order.size() - std::min(count, m_order.size());
     return {std::next(m_order.begin(), static_cast<std::ptrdiff_t>(left)), m_order.end()};
 }
 
-void PrefixMemory::clear()
+void PrefixCacheEstimate::clear()
 {
     m_order.clear();
     m_parts.clear();
--- a/Libraries/LibGateway/PrefixMemory.h
+++ b/Libraries/LibGateway/PrefixCacheEstimate.h
@@ -20,11 +20,11 @@
 unsigned totalTokens(std::span<const PromptPart> parts);
 
 /// What one engine is believed to keep, least recently used first to go.
-class PrefixMemory
+class PrefixCacheEstimate
 {
 public:
     /// Tokens of the prompt's leading parts that the engine is believed to keep.
-    unsigned keptTokens(std::span<const PromptPart> parts) const;
+    unsigned cachedTokens(std::span<const PromptPart> parts) const;
     /// Notes that the engine read or used these parts, and drops the oldest beyond the capacity.
     void noteUse(std::span<const PromptPart> parts);
     /// Sets how many tokens the engine keeps at most.
--- a/Libraries/LibGateway/RequestLog.cpp
+++ b/Libraries/LibGateway/RequestLog.cpp
@@ -54,7 +54,7 @@
          {"first_ms", milliseconds(progress.firstByte.value_or(now) - request.arrival)},
          {"expected_ms", milliseconds(engine.expectedFirst)},
          {"ready_tokens", std::to_string(engine.readyTokens)},
-         {"kept_tokens", std::to_string(engine.keptTokens)},
+         {"kept_tokens", std::to_string(engine.cachedTokens)},
          {"shared_tokens", std::to_string(request.sharedTokens())},
          {"prompt_tokens", std::to_string(request.caller.promptTokens)},
          {"source", plan.fetchSource()},
--- a/Libraries/LibGateway/RequestPlan.cpp
+++ b/Libraries/LibGateway/RequestPlan.cpp
@@ -87,14 +87,14 @@
 }
 
 /// Whether the prompt's parts are worth a place in the store that does not have them yet.
-bool isWorthSaving(const PartStore &store, const AcceptedRequest &request, std::uint64_t weights)
+bool isWorthSaving(const KvCacheStore &store, const AcceptedRequest &request, std::uint64_t weights)
 {
     // The last part is the request's own; saving it takes room from what others share.
     if (request.parts.size() < 2)
         return false;
     const std::span shared(request.parts.data(), request.parts.size() - 1);
     const auto tokens = totalTokens(shared);
-    return tokens >= PartStore::LeastTokens && store.storedTokens(shared, weights) < tokens;
+    return tokens >= KvCacheStore::LeastTokens && store.storedTokens(shared, weights) < tokens;
 }
 
 std::variant<RequestPlan, Refusal> planEngine(Gateway &gateway, const AcceptedRequest &request,
@@ -163,7 +163,7 @@
     return plan;
 }
 
-PartStore *partStoreOf(Gateway &gateway, const RequestPlan &plan)
+KvCacheStore *kvCacheStoreOf(Gateway &gateway, const RequestPlan &plan)
 {
     auto *store = gateway.stores().find(plan.storeHolder);
     return store && store->isAnswering() ? store : nullptr;
--- a/Libraries/LibGateway/RequestPlan.h
+++ b/Libraries/LibGateway/RequestPlan.h
@@ -39,6 +39,6 @@
                                                const std::set<Core::UpstreamId> &excluded);
 
 /// The store that the plan names, while it answers; null otherwise.
-PartStore *partStoreOf(Gateway &gateway, const RequestPlan &plan);
+KvCacheStore *kvCacheStoreOf(Gateway &gateway, const RequestPlan &plan);
 
 } // namespace Gateway
--- a/Libraries/LibGateway/RequestRelay.cpp
+++ b/Libraries/LibGateway/RequestRelay.cpp
@@ -200,7 +200,7 @@
         const auto total = totalTokens(m_request.parts);
         auto &metrics = m_gateway.metrics();
         metrics.promptTokens.add(total, m_request.labels());
-        metrics.keptTokens.add(total - missed, m_request.labels());
+        metrics.cachedTokens.add(total - missed, m_request.labels());
         metrics.expectedFirst.observe(
             duration_cast<std::chrono::nanoseconds>(m_plan->engine->expectedFirst),
             m_request.labels());
@@ -236,7 +236,7 @@
         const auto weights = m_plan->upstream->weights(m_request.caller.model);
         dispatch.weights = weights;
         dispatch.cacheScope += ".weights-" + text(weights);
-        const auto *store = partStoreOf(m_gateway, *m_plan);
+        const auto *store = kvCacheStoreOf(m_gateway, *m_plan);
         if (store && m_plan->engine->isFromStore)
             dispatch.fetchFrom = store->endpoint();
         if (store && m_plan->isSaving)
@@ -445,11 +445,11 @@
     }
     if (!m_plan->engine)
         return;
-    m_plan->upstream->noteKept(m_request.parts);
+    m_plan->upstream->noteCached(m_request.parts);
     if (m_gateway.onPartsRead)
         m_gateway.onPartsRead(*m_plan->upstream, m_request.parts);
-    if (auto *store = partStoreOf(m_gateway, *m_plan); store && m_plan->isSaving) {
-        const auto stored = PartStore::storedParts(m_request.parts, m_plan->weights);
+    if (auto *store = kvCacheStoreOf(m_gateway, *m_plan); store && m_plan->isSaving) {
+        const auto stored = KvCacheStore::storedParts(m_request.parts, m_plan->weights);
         store->noteStored(stored);
         if (m_gateway.onPartsStored)
             m_gateway.onPartsStored(*store, stored);
--- a/Libraries/LibGateway/SharedLog.cpp
+++ b/Libraries/LibGateway/SharedLog.cpp
@@ -47,7 +47,7 @@
         return "upstreams";
     case FleetTopic::Journal:
         return "journal";
-    case FleetTopic::Beliefs:
+    case FleetTopic::CacheSnapshots:
         break;
     }
     return "beliefs";
@@ -77,7 +77,7 @@
     case FleetTopic::Upstreams:
         return m_dependencies.settings.drainBound;
     case FleetTopic::Journal:
-    case FleetTopic::Beliefs:
+    case FleetTopic::CacheSnapshots:
         break;
     }
     return JournalBound;
@@ -92,7 +92,7 @@
     case FleetTopic::Journal:
         return JournalPause;
     case FleetTopic::Operator:
-    case FleetTopic::Beliefs:
+    case FleetTopic::CacheSnapshots:
         break;
     }
     return 0ms;
--- a/Libraries/LibGateway/SiblingExchange.cpp
+++ b/Libraries/LibGateway/SiblingExchange.cpp
@@ -191,7 +191,7 @@
     queueParts(upstreamHash(engine), parts);
 }
 
-void SiblingExchange::tellStored(const PartStore &store, std::span<const PromptPart> parts)
+void SiblingExchange::tellStored(const KvCacheStore &store, std::span<const PromptPart> parts)
 {
     queueParts(store.holder(), parts);
 }
@@ -451,7 +451,7 @@
     for (const auto *entry : *report.parts()) {
         const PromptPart part {entry->chain(), entry->tokens()};
         if (const auto upstream = m_dependencies.fleet.findByHash(entry->holder()))
-            upstream->noteKept(std::span(&part, 1));
+            upstream->noteCached(std::span(&part, 1));
         else if (auto *store = m_dependencies.stores.find(entry->holder()))
             store->noteStored(std::span(&part, 1));
         if (report.scope() == Wire::Scope::Instance)
--- a/Libraries/LibGateway/SiblingExchange.h
+++ b/Libraries/LibGateway/SiblingExchange.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibGateway/FleetMembers.h>
-#include <LibGateway/PartStores.h>
+#include <LibGateway/KvCacheStores.h>
 #include <LibGateway/UpstreamFleet.h>
 
 #include <boost/asio/awaitable.hpp>
@@ -42,7 +42,7 @@
         const Core::Clock &clock;
         FleetMembers &members;
         UpstreamFleet &fleet;
-        PartStores &stores;
+        KvCacheStores &stores;
     };
 
     SiblingExchange(boost::asio::io_context &context, Dependencies dependencies);
@@ -58,7 +58,7 @@
     /// Queues news for the next datagram.
     void tellParts(const Upstream &engine, std::span<const PromptPart> parts);
     /// Parts as the store of parts tells them apart.
-    void tellStored(const PartStore &store, std::span<const PromptPart> parts);
+    void tellStored(const KvCacheStore &store, std::span<const PromptPart> parts);
     /// A store of parts answered this instance, in the life with this epoch.
     void tellStoreLife(std::uint64_t holder, std::uint64_t epoch);
     void tellHold(const Upstream &engine, std::chrono::milliseconds time);
--- a/Libraries/LibGateway/Upstream.h
+++ b/Libraries/LibGateway/Upstream.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibCore/Clock.h>
-#include <LibGateway/PrefixMemory.h>
+#include <LibGateway/PrefixCacheEstimate.h>
 #include <LibGateway/UpstreamReport.h>
 
 #include <cstdint>
@@ -75,10 +75,10 @@
     double slowness() const { return m_slowness; }
     void noteSlowness(double sample);
 
-    PrefixMemory &memory() { return m_memory; }
+    PrefixCacheEstimate &memory() { return m_memory; }
     /// Notes that it read or used a prompt's parts.
-    void noteKept(std::span<const PromptPart> parts) { m_memory.noteUse(parts); }
-    const PrefixMemory &memory() const { return m_memory; }
+    void noteCached(std::span<const PromptPart> parts) { m_memory.noteUse(parts); }
+    const PrefixCacheEstimate &memory() const { return m_memory; }
 
     /// The version of the model's weights that it was last seen to have; 0 when unknown.
     std::uint64_t weights(const std::string &model) const;
@@ -96,7 +96,7 @@
 
 private:
     UpstreamReport m_report;
-    PrefixMemory m_memory;
+    PrefixCacheEstimate m_memory;
     WaitingTokens m_waitingTokens;
     std::uint64_t m_memoryTokens = 0;
     OthersLoad m_others;
--- a/Libraries/LibGateway/UpstreamChooser.cpp
+++ b/Libraries/LibGateway/UpstreamChooser.cpp
@@ -69,7 +69,7 @@
         if (member->isGone() || member->failureShare(limits.now) > MostSourceFailures)
             continue;
         auto &holder = holders[member->weights(demand.model)];
-        const auto tokens = member->memory().keptTokens(demand.parts);
+        const auto tokens = member->memory().cachedTokens(demand.parts);
         const bool isBetter = tokens > holder.tokens
                               || (tokens == holder.tokens && holder.engine && tokens > 0
                                   && member->inFlight() < holder.engine->inFlight());
@@ -94,8 +94,9 @@
 {
     EngineChoice choice;
     choice.upstream = engine;
-    choice.keptTokens = std::min(engine->memory().keptTokens(demand.parts), demand.promptTokens);
-    choice.readyTokens = choice.keptTokens;
+    choice.cachedTokens =
+        std::min(engine->memory().cachedTokens(demand.parts), demand.promptTokens);
+    choice.readyTokens = choice.cachedTokens;
     Milliseconds fetch {0};
     // Engines forget what the store still holds, so the store goes first where both have it.
     const auto stored =
@@ -104,11 +105,11 @@
     const auto most = std::min(std::max(stored, holder.tokens), demand.promptTokens);
     const bool hasSource = isFromStore || (holder.engine && holder.engine != engine);
     if (demand.fetchTokensPerMillisecond > 0 && hasSource
-        && most > choice.keptTokens + LeastFetchTokens) {
+        && most > choice.cachedTokens + LeastFetchTokens) {
         choice.isFromStore = isFromStore;
         choice.source = isFromStore ? nullptr : holder.engine;
         choice.readyTokens = most;
-        fetch = Milliseconds((most - choice.keptTokens) / demand.fetchTokensPerMillisecond);
+        fetch = Milliseconds((most - choice.cachedTokens) / demand.fetchTokensPerMillisecond);
     }
     const auto tokens =
         engine->tokensBefore(demand.isUrgent) + demand.promptTokens - choice.readyTokens;
@@ -124,7 +125,7 @@
 {
     const bool isKnown = choice.source || choice.isFromStore;
     if (isKnown || demand.fetchTokensPerMillisecond <= 0
-        || demand.sharedTokens <= choice.keptTokens + LeastFetchTokens)
+        || demand.sharedTokens <= choice.cachedTokens + LeastFetchTokens)
         return;
     const bool isElsewhere =
         home && home != choice.upstream
@@ -132,7 +133,7 @@
         && home->failureShare(limits.now) <= MostSourceFailures;
     if (isElsewhere)
         choice.source = home;
-    else if (demand.store && demand.sharedTokens >= PartStore::LeastTokens)
+    else if (demand.store && demand.sharedTokens >= KvCacheStore::LeastTokens)
         choice.isFromStore = true;
     choice.isGuess = choice.source || choice.isFromStore;
 }
--- a/Libraries/LibGateway/UpstreamChooser.h
+++ b/Libraries/LibGateway/UpstreamChooser.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <LibGateway/EngineModel.h>
-#include <LibGateway/PartStore.h>
-#include <LibGateway/PrefixMemory.h>
+#include <LibGateway/KvCacheStore.h>
+#include <LibGateway/PrefixCacheEstimate.h>
 #include <LibGateway/UpstreamFleet.h>
 #include <LibGateway/WeightsTargets.h>
 
@@ -43,7 +43,7 @@
     std::uint64_t memoryTokens = 0;
     std::uint64_t memoryCapacity = 0;
     /// The store for the session's parts; null when there is none that answers.
-    const PartStore *store = nullptr;
+    const KvCacheStore *store = nullptr;
     /// How fast engines pass cached parts to each other; zero when they cannot.
     double fetchTokensPerMillisecond = 0;
 };
@@ -53,7 +53,7 @@
 {
     std::shared_ptr<Upstream> upstream;
     /// Leading tokens of the prompt that it is believed to keep.
-    unsigned keptTokens = 0;
+    unsigned cachedTokens = 0;
     /// Another engine with the same weights that keeps more, or may; null when fetching does not
     /// pay.
     std::shared_ptr<Upstream> source;
--- a/Tests/LibGateway/TestFleetWatcher.cpp
+++ b/Tests/LibGateway/TestFleetWatcher.cpp
@@ -116,9 +116,9 @@
     const std::vector<Gateway::PromptPart> parts {{1, 100}};
     memory.noteUse(parts);
     fixture.upstream("w", "app:10:6");
-    CHECK(memory.keptTokens(parts) == 100);
+    CHECK(memory.cachedTokens(parts) == 100);
     fixture.upstream("w", "app:20:0");
-    CHECK(memory.keptTokens(parts) == 0);
+    CHECK(memory.cachedTokens(parts) == 0);
     fixture.upstream("w", "app:10:9d");
     CHECK_FALSE(fixture.find("w")->report().isDraining);
 }
--- a/Tests/LibGateway/TestMemory.cpp
+++ b/Tests/LibGateway/TestMemory.cpp
@@ -1,7 +1,7 @@
 #include <LibCore/ManualClock.h>
-#include <LibGateway/BeliefSnapshot.h>
-#include <LibGateway/PartStores.h>
-#include <LibGateway/PrefixMemory.h>
+#include <LibGateway/CacheSnapshot.h>
+#include <LibGateway/KvCacheStores.h>
+#include <LibGateway/PrefixCacheEstimate.h>
 
 #include <catch2/catch.hpp>
 
@@ -12,42 +12,42 @@
 
 TEST_CASE("parts count as kept only together with all parts before them")
 {
-    Gateway::PrefixMemory memory;
+    Gateway::PrefixCacheEstimate memory;
     memory.setCapacity(1'000);
     const std::vector<PromptPart> parts {{1, 100}, {2, 200}, {3, 300}};
     memory.noteUse(std::span(parts).subspan(1));
-    CHECK(memory.keptTokens(parts) == 0);
+    CHECK(memory.cachedTokens(parts) == 0);
     memory.noteUse(std::span(parts).first(1));
-    CHECK(memory.keptTokens(parts) == 600);
+    CHECK(memory.cachedTokens(parts) == 600);
     memory.clear();
-    CHECK(memory.keptTokens(parts) == 0);
+    CHECK(memory.cachedTokens(parts) == 0);
     CHECK(memory.tokens() == 0);
 }
 
 TEST_CASE("the least recently used parts go first, and never before those that build on them")
 {
-    Gateway::PrefixMemory memory;
+    Gateway::PrefixCacheEstimate memory;
     memory.setCapacity(500);
     const std::vector<PromptPart> old {{1, 200}, {2, 200}};
     const std::vector<PromptPart> fresh {{3, 200}};
     memory.noteUse(old);
     memory.noteUse(fresh);
-    CHECK(memory.keptTokens(old) == 200);
-    CHECK(memory.keptTokens(fresh) == 200);
+    CHECK(memory.cachedTokens(old) == 200);
+    CHECK(memory.cachedTokens(fresh) == 200);
     memory.noteUse(std::span(old).first(1));
     memory.noteUse(std::vector<PromptPart> {{4, 200}});
-    CHECK(memory.keptTokens(old) == 200);
-    CHECK(memory.keptTokens(fresh) == 0);
+    CHECK(memory.cachedTokens(old) == 200);
+    CHECK(memory.cachedTokens(fresh) == 0);
 }
 
 TEST_CASE("the store of parts is believed only while it answers, and is empty in another life")
 {
-    Gateway::PartStore store(Http::parseEndpoint("127.0.0.1:9").value());
+    Gateway::KvCacheStore store(Http::parseEndpoint("127.0.0.1:9").value());
     store.setCapacity(10'000);
     const std::vector<PromptPart> parts {{1, 100}, {2, 200}};
     CHECK_FALSE(store.isAnswering());
     CHECK(store.noteAnswer(7));
-    store.noteStored(Gateway::PartStore::storedParts(parts, 3));
+    store.noteStored(Gateway::KvCacheStore::storedParts(parts, 3));
     CHECK(store.storedTokens(parts, 3) == 300);
     // Parts that other weights made are other parts.
     CHECK(store.storedTokens(parts, 4) == 0);
@@ -64,16 +64,16 @@
 {
     Core::ManualClock clock;
     clock.advance(1h);
-    Gateway::PartStores stores;
+    Gateway::KvCacheStores stores;
     CHECK(stores.storeFor(1) == nullptr);
-    std::vector<Gateway::PartStores::Place> places;
+    std::vector<Gateway::KvCacheStores::Place> places;
     for (int n = 1; n <= 3; ++n)
         places.push_back(
             {Http::parseEndpoint("10.0.0." + std::to_string(n) + ":9").value(), 9'000});
     stores.configure(places);
     CHECK(stores.storeFor(1) == nullptr);
     for (const auto &place : places)
-        CHECK(stores.noteAnswer(Gateway::PartStore::holderOf(place.endpoint), 5, clock.now()));
+        CHECK(stores.noteAnswer(Gateway::KvCacheStore::holderOf(place.endpoint), 5, clock.now()));
     std::map<std::uint64_t, int> sessions;
     for (std::uint64_t session = 0; session < 300; ++session)
         ++sessions[stores.storeFor(session)->holder()];
@@ -84,7 +84,7 @@
     const auto first = stores.storeFor(1)->holder();
     clock.advance(3s);
     for (const auto &place : places) {
-        const auto holder = Gateway::PartStore::holderOf(place.endpoint);
+        const auto holder = Gateway::KvCacheStore::holderOf(place.endpoint);
         if (holder != first)
             stores.noteAnswer(holder, 5, clock.now());
     }
@@ -97,13 +97,13 @@
 TEST_CASE("a store that stays configured keeps what is known of it")
 {
     Core::ManualClock clock;
-    Gateway::PartStores stores;
-    const Gateway::PartStores::Place one {Http::parseEndpoint("10.0.0.1:9").value(), 9'000};
-    const Gateway::PartStores::Place other {Http::parseEndpoint("10.0.0.2:9").value(), 9'000};
+    Gateway::KvCacheStores stores;
+    const Gateway::KvCacheStores::Place one {Http::parseEndpoint("10.0.0.1:9").value(), 9'000};
+    const Gateway::KvCacheStores::Place other {Http::parseEndpoint("10.0.0.2:9").value(), 9'000};
     stores.configure({one});
-    stores.noteAnswer(Gateway::PartStore::holderOf(one.endpoint), 5, clock.now());
+    stores.noteAnswer(Gateway::KvCacheStore::holderOf(one.endpoint), 5, clock.now());
     const std::vector<PromptPart> parts {{1, 100}};
-    stores.storeFor(1)->noteStored(Gateway::PartStore::storedParts(parts, 3));
+    stores.storeFor(1)->noteStored(Gateway::KvCacheStore::storedParts(parts, 3));
     stores.configure({one, other});
     CHECK(stores.storeFor(1)->storedTokens(parts, 3) == 100);
     stores.configure({other});
@@ -121,44 +121,44 @@
         return upstream;
     };
     const std::vector<PromptPart> parts {{1, 100}, {2, 200}};
-    const Gateway::PartStores::Place place {Http::parseEndpoint("10.0.0.1:9").value(), 9'000};
-    const auto holder = Gateway::PartStore::holderOf(place.endpoint);
+    const Gateway::KvCacheStores::Place place {Http::parseEndpoint("10.0.0.1:9").value(), 9'000};
+    const auto holder = Gateway::KvCacheStore::holderOf(place.endpoint);
     Core::ManualClock clock;
     Gateway::UpstreamFleet fleet;
-    Gateway::PartStores stores;
+    Gateway::KvCacheStores stores;
     stores.configure({place});
-    CHECK(encodeBeliefs(fleet, stores).empty());
+    CHECK(encodeCacheSnapshot(fleet, stores).empty());
     for (const auto *id : {"same", "restarted", "reloaded"}) {
         fleet.apply(report(id, 3, 50));
-        fleet.find(Core::UpstreamId(id))->noteKept(parts);
+        fleet.find(Core::UpstreamId(id))->noteCached(parts);
     }
     stores.noteAnswer(holder, 7, clock.now());
-    stores.find(holder)->noteStored(Gateway::PartStore::storedParts(parts, 3));
-    const auto snapshot = encodeBeliefs(fleet, stores);
+    stores.find(holder)->noteStored(Gateway::KvCacheStore::storedParts(parts, 3));
+    const auto snapshot = encodeCacheSnapshot(fleet, stores);
 
     Gateway::UpstreamFleet fresh;
-    Gateway::PartStores freshStores;
+    Gateway::KvCacheStores freshStores;
     freshStores.configure({place});
     freshStores.noteAnswer(holder, 7, clock.now());
     fresh.apply(report("same", 3, 50));
     fresh.apply(report("restarted", 3, 51));
     fresh.apply(report("reloaded", 4, 50));
-    CHECK(applyBeliefs(snapshot, fresh, freshStores) == 4);
-    CHECK(fresh.find(Core::UpstreamId("same"))->memory().keptTokens(parts) == 300);
-    CHECK(fresh.find(Core::UpstreamId("restarted"))->memory().keptTokens(parts) == 0);
-    CHECK(fresh.find(Core::UpstreamId("reloaded"))->memory().keptTokens(parts) == 0);
+    CHECK(applyCacheSnapshot(snapshot, fresh, freshStores) == 4);
+    CHECK(fresh.find(Core::UpstreamId("same"))->memory().cachedTokens(parts) == 300);
+    CHECK(fresh.find(Core::UpstreamId("restarted"))->memory().cachedTokens(parts) == 0);
+    CHECK(fresh.find(Core::UpstreamId("reloaded"))->memory().cachedTokens(parts) == 0);
     CHECK(freshStores.find(holder)->storedTokens(parts, 3) == 300);
 
     // A store that began another life holds none of it.
-    Gateway::PartStores emptied;
+    Gateway::KvCacheStores emptied;
     emptied.configure({place});
     emptied.noteAnswer(holder, 8, clock.now());
-    applyBeliefs(snapshot, Gateway::UpstreamFleet(), emptied);
+    applyCacheSnapshot(snapshot, Gateway::UpstreamFleet(), emptied);
     CHECK(emptied.find(holder)->storedTokens(parts, 3) == 0);
-    CHECK(applyBeliefs("no snapshot", fresh, freshStores) == 0);
-    CHECK(
-        applyBeliefs(std::string_view(snapshot).substr(0, snapshot.size() / 2), fresh, freshStores)
-        == 0);
+    CHECK(applyCacheSnapshot("no snapshot", fresh, freshStores) == 0);
+    CHECK(applyCacheSnapshot(std::string_view(snapshot).substr(0, snapshot.size() / 2), fresh,
+                             freshStores)
+          == 0);
 }
 
 TEST_CASE("a snapshot of a large fleet fits a record of the log and holds the newest parts of each")
@@ -171,18 +171,18 @@
         fleet.apply(upstream);
         for (std::uint64_t part = 0; part < 500; ++part) {
             const std::vector<PromptPart> parts {{part, 100}};
-            fleet.find(upstream.id)->noteKept(parts);
+            fleet.find(upstream.id)->noteCached(parts);
         }
     }
-    const auto snapshot = encodeBeliefs(fleet, {});
+    const auto snapshot = encodeCacheSnapshot(fleet, {});
     CHECK(snapshot.size() < 262'144);
     Gateway::UpstreamFleet fresh;
     for (const auto &[id, engine] : fleet.all())
         fresh.apply(engine->report());
-    Gateway::PartStores stores;
-    applyBeliefs(snapshot, fresh, stores);
+    Gateway::KvCacheStores stores;
+    applyCacheSnapshot(snapshot, fresh, stores);
     const std::vector<PromptPart> newest {{499, 100}};
     const std::vector<PromptPart> oldest {{0, 100}};
-    CHECK(fresh.find(Core::UpstreamId("w7"))->memory().keptTokens(newest) == 100);
-    CHECK(fresh.find(Core::UpstreamId("w7"))->memory().keptTokens(oldest) == 0);
+    CHECK(fresh.find(Core::UpstreamId("w7"))->memory().cachedTokens(newest) == 100);
+    CHECK(fresh.find(Core::UpstreamId("w7"))->memory().cachedTokens(oldest) == 0);
 }
--- a/Tests/LibGateway/TestPlacement.cpp
+++ b/Tests/LibGateway/TestPlacement.cpp
@@ -83,9 +83,9 @@
 {
     Fixture fixture;
     auto &keeper = fixture.engine(fixture.chosen() == "w0" ? "w1" : "w0");
-    keeper.noteKept(std::span(fixture.parts).first(2));
+    keeper.noteCached(std::span(fixture.parts).first(2));
     CHECK(fixture.chosen() == keeper.report().id.value());
-    CHECK(fixture.choose()->keptTokens == 5'000);
+    CHECK(fixture.choose()->cachedTokens == 5'000);
     keeper.noteSent(60'000, true);
     const auto elsewhere = fixture.choose();
     CHECK(elsewhere->upstream->report().id != keeper.report().id);
@@ -101,7 +101,7 @@
     // The home itself has nobody else to ask while there is no store.
     CHECK_FALSE(fixture.choose()->source);
     CHECK_FALSE(fixture.choose()->isFromStore);
-    Gateway::PartStore store(Http::parseEndpoint("127.0.0.1:9").value());
+    Gateway::KvCacheStore store(Http::parseEndpoint("127.0.0.1:9").value());
     store.noteAnswer(1);
     fixture.demand.store = &store;
     CHECK(fixture.choose()->isFromStore);
@@ -136,7 +136,7 @@
 {
     Fixture fixture;
     auto &keeper = fixture.engine("w0");
-    keeper.noteKept(std::span(fixture.parts).first(2));
+    keeper.noteCached(std::span(fixture.parts).first(2));
     fixture.limits.excluded.insert(keeper.report().id);
     CHECK(fixture.choose()->source);
     for (int n = 0; n < 8; ++n)
@@ -144,7 +144,7 @@
     CHECK_FALSE(fixture.choose()->source);
     Fixture other;
     auto &newer = other.add("new", 2);
-    newer.noteKept(std::span(other.parts).first(2));
+    newer.noteCached(std::span(other.parts).first(2));
     other.limits.excluded.insert(newer.report().id);
     CHECK_FALSE(other.choose()->source);
 }
--- a/Tests/LibGateway/TestSiblings.cpp
+++ b/Tests/LibGateway/TestSiblings.cpp
@@ -41,7 +41,7 @@
     boost::asio::io_context context;
     Core::ManualClock clock;
     Gateway::UpstreamFleet fleet;
-    Gateway::PartStores stores;
+    Gateway::KvCacheStores stores;
     std::unique_ptr<Gateway::FleetMembers> members;
     std::unique_ptr<Gateway::SiblingExchange> exchange;
 };
@@ -62,7 +62,7 @@
     CHECK(other.engine().othersLoad().waitingTokens.urgent == 5'000);
     CHECK(other.engine().othersLoad().inFlight == 1);
     CHECK(other.engine().weights("m") == 4);
-    CHECK(other.engine().memory().keptTokens(parts) == 300);
+    CHECK(other.engine().memory().cachedTokens(parts) == 300);
     CHECK(other.engine().heldUntil() == other.clock.now() + 500ms);
     one.engine().noteFirstToken(5'000, true);
     one.engine().noteEnd();
@@ -141,12 +141,12 @@
 {
     Instance one("one");
     Instance other("other");
-    const Gateway::PartStores::Place place {endpointOf("store"), 10'000};
+    const Gateway::KvCacheStores::Place place {endpointOf("store"), 10'000};
     one.stores.configure({place});
     other.stores.configure({place});
-    const auto holder = Gateway::PartStore::holderOf(place.endpoint);
+    const auto holder = Gateway::KvCacheStore::holderOf(place.endpoint);
     const std::vector<Gateway::PromptPart> parts {{1, 100}, {2, 200}};
-    const auto stored = Gateway::PartStore::storedParts(parts, 1);
+    const auto stored = Gateway::KvCacheStore::storedParts(parts, 1);
     one.stores.noteAnswer(holder, 7, one.clock.now());
     one.exchange->tellStoreLife(holder, 7);
     one.exchange->tellStored(*one.stores.find(holder), stored);
@@ -234,7 +234,7 @@
     south.exchange->apply(southern.exchange->encodeElsewhere());
     south.exchange->apply(south.exchange->encodeDataCentre());
     CHECK(south.engine().tokensBefore(false) == 15'000);
-    CHECK(southern.engine().memory().keptTokens(parts) == 100);
+    CHECK(southern.engine().memory().cachedTokens(parts) == 100);
 }
 
 TEST_CASE("the next fastest instance becomes the hub when the hub goes silent")
