--- a/Libraries/LibGateway/AcceptedRequest.cpp
+++ b/Libraries/LibGateway/AcceptedRequest.cpp
@@ -58,7 +58,7 @@
     digest = requestDigest(target, tenantName(), request.body);
     if (gateway.poison().isPoison(digest, now))
         return Refusal {Core::ErrorKind::PoisonRequest, "broke several upstreams", {}};
-    deadline = arrival + std::min(caller.patience.value_or(route->timeout), route->timeout);
+    deadline = arrival + std::min(caller.callerTimeout.value_or(route->timeout), route->timeout);
     parts.clear();
     std::uint64_t chain = Core::hash64(cacheScope(), Core::hash64(caller.model));
     for (const auto &part : caller.parts) {
--- a/Libraries/LibGateway/FleetJournal.cpp
+++ b/Libraries/LibGateway/FleetJournal.cpp
@@ -52,7 +52,7 @@
 } // namespace
 
 FleetJournal::FleetJournal(FleetLog &log, const Core::Clock &clock, const GatewaySettings &settings,
-                           PoisonLedger &poison, FleetMembers &members)
+                           PoisonRequestTable &poison, FleetMembers &members)
     : m_log(log)
     , m_clock(clock)
     , m_settings(settings)
@@ -128,7 +128,7 @@
     if (!breaks || !breaks->digests() || text(breaks->instance()) == m_settings.instance.value())
         return;
     for (const auto digest : *breaks->digests())
-        m_poison.noteBreak(digest, m_clock.now());
+        m_poison.noteUpstreamFailure(digest, m_clock.now());
 }
 
 asio::awaitable<bool> FleetJournal::append(std::string record)
@@ -147,7 +147,7 @@
 
 std::chrono::milliseconds FleetJournal::announcePause() const
 {
-    const auto kept = AnnouncedShare * std::chrono::duration<double>(m_settings.journalKeeps);
+    const auto kept = AnnouncedShare * std::chrono::duration<double>(m_settings.journalRetention);
     return std::min(MostAnnouncePause, std::chrono::duration_cast<std::chrono::milliseconds>(kept));
 }
 
@@ -175,9 +175,9 @@
 {
     for (;;) {
         co_await sleepFor(BreaksPause);
-        if (m_breaks.empty())
+        if (m_upstreamFailures.empty())
             continue;
-        const auto breaks = std::exchange(m_breaks, {});
+        const auto breaks = std::exchange(m_upstreamFailures, {});
         flatbuffers::FlatBufferBuilder builder;
         const auto entry =
             Wire::CreateBreaksDirect(builder, m_settings.instance.value().c_str(), &breaks);
@@ -185,7 +185,7 @@
         const bool isWritten = co_await append(std::move(record));
         if (isWritten)
             continue;
-        m_breaks.insert(m_breaks.begin(), breaks.begin(), breaks.end());
+        m_upstreamFailures.insert(m_upstreamFailures.begin(), breaks.begin(), breaks.end());
         co_await sleepFor(RetryPause);
     }
 }
--- a/Libraries/LibGateway/FleetJournal.h
+++ b/Libraries/LibGateway/FleetJournal.h
@@ -5,7 +5,7 @@
 #include <LibGateway/FleetMembers.h>
 #include <LibGateway/GatewaySettings.h>
 #include <LibGateway/OrderLease.h>
-#include <LibGateway/PoisonLedger.h>
+#include <LibGateway/PoisonRequestTable.h>
 
 #include <string>
 #include <vector>
@@ -19,7 +19,7 @@
 {
 public:
     FleetJournal(FleetLog &log, const Core::Clock &clock, const GatewaySettings &settings,
-                 PoisonLedger &poison, FleetMembers &members);
+                 PoisonRequestTable &poison, FleetMembers &members);
 
     /// Follows the journal until the process ends.
     boost::asio::awaitable<void> watch();
@@ -33,7 +33,7 @@
     const OrderLease &lease() const { return m_lease; }
 
     /// Notes that an upstream broke under a request of this instance.
-    void noteBreak(std::uint64_t digest) { m_breaks.push_back(digest); }
+    void noteUpstreamFailure(std::uint64_t digest) { m_upstreamFailures.push_back(digest); }
     /// Whether all that the log keeps was read, so that the members are known.
     bool hasRead() const { return m_hasRead; }
 
@@ -51,10 +51,10 @@
     FleetLog &m_log;
     const Core::Clock &m_clock;
     const GatewaySettings &m_settings;
-    PoisonLedger &m_poison;
+    PoisonRequestTable &m_poison;
     FleetMembers &m_members;
     OrderLease m_lease;
-    std::vector<std::uint64_t> m_breaks;
+    std::vector<std::uint64_t> m_upstreamFailures;
     std::uint64_t m_next = 0;
     bool m_hasRead = false;
 };
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -6,9 +6,9 @@
 #include <LibGateway/GatewayMetrics.h>
 #include <LibGateway/GatewaySettings.h>
 #include <LibGateway/KvCacheStores.h>
-#include <LibGateway/PoisonLedger.h>
+#include <LibGateway/PoisonRequestTable.h>
 #include <LibGateway/RequestDialect.h>
-#include <LibGateway/RetryAllowance.h>
+#include <LibGateway/RetryBudgetShare.h>
 #include <LibGateway/UpstreamFleet.h>
 #include <LibGateway/WeightsTargets.h>
 #include <LibHttp/Client.h>
@@ -62,9 +62,9 @@
     const GatewayDependencies &dependencies() const { return m_dependencies; }
     GatewayMetrics &metrics() { return m_metrics; }
     KvCacheStores &stores() { return m_stores; }
-    PoisonLedger &poison() { return m_poison; }
+    PoisonRequestTable &poison() { return m_poison; }
     EngineModel &engineModel(const std::string &service) { return m_models[service]; }
-    RetryAllowance &retries(const std::string &service) { return m_retries[service]; }
+    RetryBudgetShare &retries(const std::string &service) { return m_retries[service]; }
     std::minstd_rand &random() { return m_random; }
 
     /// Called with the digest of a request under which an upstream broke.
@@ -87,9 +87,9 @@
     GatewayDependencies m_dependencies;
     GatewayMetrics m_metrics;
     KvCacheStores m_stores;
-    PoisonLedger m_poison;
+    PoisonRequestTable m_poison;
     std::map<std::string, EngineModel> m_models;
-    std::map<std::string, RetryAllowance> m_retries;
+    std::map<std::string, RetryBudgetShare> m_retries;
     std::minstd_rand m_random;
     std::optional<unsigned> m_instances;
     bool m_isDraining = false;
--- a/Libraries/LibGateway/GatewayDaemon.cpp
+++ b/Libraries/LibGateway/GatewayDaemon.cpp
@@ -116,29 +116,29 @@
 
 void GatewayDaemon::connectNews()
 {
-    m_gateway.onBreak = [this](std::uint64_t digest) { m_journal.noteBreak(digest); };
+    m_gateway.onBreak = [this](std::uint64_t digest) { m_journal.noteUpstreamFailure(digest); };
     m_gateway.onPartsRead = [this](const Upstream &engine, std::span<const PromptPart> parts) {
-        m_siblings.tellParts(engine, parts);
+        m_siblings.publishParts(engine, parts);
     };
     m_gateway.onPartsStored = [this](const KvCacheStore &store, std::span<const PromptPart> parts) {
-        m_siblings.tellStored(store, parts);
+        m_siblings.publishStoredParts(store, parts);
     };
     m_storeMonitor.onAnswer = [this](std::uint64_t holder, std::uint64_t epoch) {
-        m_siblings.tellStoreLife(holder, epoch);
+        m_siblings.publishStoreEpoch(holder, epoch);
     };
     m_gateway.onUnreachable = [this](const Upstream &upstream) {
-        m_siblings.tellUnreachable(upstream);
+        m_siblings.publishUnreachable(upstream);
     };
     m_gateway.onWeightsSeen =
         m_roller.onWeights = [this](const auto &engine, const auto &model, std::uint64_t version) {
-            m_siblings.tellWeights(engine, model, version);
+            m_siblings.publishWeights(engine, model, version);
         };
     m_gateway.onOtherWeights = [this](const std::shared_ptr<Upstream> &engine) {
         asio::co_spawn(m_threads.at(0), m_roller.refresh(engine), asio::detached);
     };
     m_gateway.onHold =
         m_roller.onHold = [this](const Upstream &engine, std::chrono::milliseconds time) {
-            m_siblings.tellHold(engine, time);
+            m_siblings.publishPause(engine, time);
         };
 }
 
--- a/Libraries/LibGateway/GatewaySettings.h
+++ b/Libraries/LibGateway/GatewaySettings.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibCore/Identifier.h>
-#include <LibGateway/RetryAllowance.h>
+#include <LibGateway/RetryBudgetShare.h>
 #include <LibHttp/Endpoint.h>
 
 #include <chrono>
@@ -38,8 +38,8 @@
     /// Upstreams report this often.
     std::chrono::milliseconds reportInterval {1'200};
     /// The store keeps the records of the fleet's journal for this long.
-    std::chrono::milliseconds journalKeeps {300'000};
-    RetryBounds retries;
+    std::chrono::milliseconds journalRetention {300'000};
+    RetryBudgetLimits retries;
 };
 
 } // namespace Gateway
--- a/Libraries/LibGateway/PoisonLedger.cpp
+++ b/Libraries/LibGateway/PoisonRequestTable.cpp
@@ -1,5 +1,5 @@
 #include <LibCore/Hash.h>
-#include <LibGateway/PoisonLedger.h>
+#include <LibGateway/PoisonRequestTable.h>
 
 #include <algorithm>
 
@@ -13,7 +13,7 @@
 
 } // namespace
 
-void PoisonLedger::noteBreak(std::uint64_t digest, Core::Clock::Monotonic now)
+void PoisonRequestTable::noteUpstreamFailure(std::uint64_t digest, Core::Clock::Monotonic now)
 {
     if (m_entries.size() >= MostEntries)
         dropOld(now);
@@ -22,17 +22,17 @@
     entry.last = now;
 }
 
-void PoisonLedger::notePoison(std::uint64_t digest, Core::Clock::Monotonic now)
+void PoisonRequestTable::notePoison(std::uint64_t digest, Core::Clock::Monotonic now)
 {
     if (isPoison(digest, now))
         return;
-    noteBreak(digest, now);
+    noteUpstreamFailure(digest, now);
     auto &entry = m_entries[digest];
-    entry.breaks = MostBreaks;
+    entry.breaks = MaxUpstreamFailures;
     entry.isTold = true;
 }
 
-std::vector<std::uint64_t> PoisonLedger::poison(Core::Clock::Monotonic now) const
+std::vector<std::uint64_t> PoisonRequestTable::poison(Core::Clock::Monotonic now) const
 {
     std::vector<std::uint64_t> digests;
     for (const auto &[digest, entry] : m_entries) {
@@ -42,14 +42,14 @@
     return digests;
 }
 
-bool PoisonLedger::isPoison(std::uint64_t digest, Core::Clock::Monotonic now) const
+bool PoisonRequestTable::isPoison(std::uint64_t digest, Core::Clock::Monotonic now) const
 {
     const auto it = m_entries.find(digest);
-    return it != m_entries.end() && it->second.breaks >= MostBreaks
+    return it != m_entries.end() && it->second.breaks >= MaxUpstreamFailures
            && now - it->second.last < KeptTime;
 }
 
-void PoisonLedger::dropOld(Core::Clock::Monotonic now)
+void PoisonRequestTable::dropOld(Core::Clock::Monotonic now)
 {
     std::erase_if(m_entries,
                   [now](const auto &item) { return now - item.second.last >= KeptTime; });
--- a/Libraries/LibGateway/PoisonLedger.h
+++ b/Libraries/LibGateway/PoisonRequestTable.h
@@ -10,14 +10,14 @@
 namespace Gateway {
 
 /// Counts the upstreams that broke down under a request, over all its attempts and instances.
-class PoisonLedger
+class PoisonRequestTable
 {
 public:
     /// A request that broke this many upstreams is sent to no further one.
-    static constexpr unsigned MostBreaks = 3;
+    static constexpr unsigned MaxUpstreamFailures = 3;
 
     /// Notes that an upstream broke off while it worked on the request.
-    void noteBreak(std::uint64_t digest, Core::Clock::Monotonic now);
+    void noteUpstreamFailure(std::uint64_t digest, Core::Clock::Monotonic now);
     /// Notes that another instance knows the request to be poison. Such entries are not told on, or
     /// instances would remind each other of them for ever.
     void notePoison(std::uint64_t digest, Core::Clock::Monotonic now);
--- a/Libraries/LibGateway/RequestDialect.h
+++ b/Libraries/LibGateway/RequestDialect.h
@@ -26,7 +26,7 @@
     /// Identifies this attempt of the caller; upstreams repeat it in their answers.
     std::string attemptId;
     /// How long the caller waits.
-    std::optional<std::chrono::milliseconds> patience;
+    std::optional<std::chrono::milliseconds> callerTimeout;
     std::string key;
     std::string model;
     unsigned promptTokens = 0;
--- a/Libraries/LibGateway/RequestPlan.cpp
+++ b/Libraries/LibGateway/RequestPlan.cpp
@@ -122,7 +122,7 @@
 
 } // namespace
 
-std::uint64_t RequestPlan::unreadyTokens(const AcceptedRequest &request) const
+std::uint64_t RequestPlan::uncachedTokens(const AcceptedRequest &request) const
 {
     const auto total = totalTokens(request.parts);
     return engine ? total - std::min(total, engine->readyTokens) : 0;
@@ -147,7 +147,7 @@
         return Refusal {Core::ErrorKind::NoUpstream, "service " + name + " is not configured",
                         ShortRetryAfter};
     ChoiceLimits limits;
-    limits.mostInFlight =
+    limits.maxInFlight =
         std::max(2U, service->maxConnections / (gateway.instances().value_or(1) + SpareInstances));
     limits.excluded = excluded;
     limits.now = gateway.dependencies().clock.now();
--- a/Libraries/LibGateway/RequestPlan.h
+++ b/Libraries/LibGateway/RequestPlan.h
@@ -27,7 +27,7 @@
     bool isSaving = false;
 
     /// Prompt tokens that the engine is expected to read.
-    std::uint64_t unreadyTokens(const AcceptedRequest &request) const;
+    std::uint64_t uncachedTokens(const AcceptedRequest &request) const;
     /// Where the engine is told to fetch parts from, for the log.
     std::string fetchSource() const;
 };
--- a/Libraries/LibGateway/RequestRelay.cpp
+++ b/Libraries/LibGateway/RequestRelay.cpp
@@ -30,7 +30,7 @@
 constexpr auto LeastRetryAfter = 100ms;
 // Entries of the list lapse after this many reports that did not come.
 constexpr int LapsedReports = 3;
-constexpr auto BusyHold = 120ms;
+constexpr auto BusyPause = 120ms;
 // Shorter times to the first token say little about an engine's speed.
 constexpr EngineModel::Milliseconds LeastJudgedTime {20};
 
@@ -152,7 +152,7 @@
         return false;
     const auto &dependencies = m_gateway.dependencies();
     if (m_plan->upstream->isGone() || m_plan->upstream->report().isDraining
-        || m_plan->upstream->heldUntil() > dependencies.clock.now())
+        || m_plan->upstream->pausedUntil() > dependencies.clock.now())
         return false;
     const auto &current = dependencies.configuration.current();
     if (current == m_request.configuration)
@@ -195,7 +195,7 @@
 {
     ++m_progress.sends;
     m_excluded.insert(m_plan->upstream->report().id);
-    const auto missed = m_plan->unreadyTokens(m_request);
+    const auto missed = m_plan->uncachedTokens(m_request);
     if (m_plan->engine) {
         const auto total = totalTokens(m_request.parts);
         auto &metrics = m_gateway.metrics();
@@ -312,7 +312,8 @@
     if (m_hasTimedOut)
         noteUnreachable();
     if (error.kind() == Core::ErrorKind::UpstreamFailed) {
-        m_gateway.poison().noteBreak(m_request.digest, m_gateway.dependencies().clock.now());
+        m_gateway.poison().noteUpstreamFailure(m_request.digest,
+                                               m_gateway.dependencies().clock.now());
         if (m_gateway.onBreak)
             m_gateway.onBreak(m_request.digest);
     }
@@ -360,8 +361,8 @@
 void RequestRelay::noteUnreachable()
 {
     const auto now = m_gateway.dependencies().clock.now();
-    m_plan->upstream->holdUntil(
-        std::max(m_plan->upstream->heldUntil(), now + Upstream::UnreachableHold));
+    m_plan->upstream->pauseUntil(
+        std::max(m_plan->upstream->pausedUntil(), now + Upstream::UnreachablePause));
     if (m_gateway.onUnreachable)
         m_gateway.onUnreachable(*m_plan->upstream);
 }
@@ -374,7 +375,7 @@
                     + text(m_plan->upstream->weights(m_request.caller.model)));
     if (head.isOtherUpstream && head.upstream != m_plan->upstream->report().id) {
         // Another life has the address; the entry of the one before has yet to lapse.
-        m_plan->upstream->holdUntil(
+        m_plan->upstream->pauseUntil(
             now + LapsedReports * m_gateway.dependencies().settings.reportInterval);
         if (m_gateway.onHold)
             m_gateway.onHold(*m_plan->upstream,
@@ -384,7 +385,7 @@
     if (!m_plan->engine)
         return;
     // It is full or carries out an order, or took other weights than were known.
-    m_plan->upstream->holdUntil(std::max(m_plan->upstream->heldUntil(), now + BusyHold));
+    m_plan->upstream->pauseUntil(std::max(m_plan->upstream->pausedUntil(), now + BusyPause));
     if (head.isOtherUpstream && m_gateway.onOtherWeights)
         m_gateway.onOtherWeights(m_plan->upstream);
 }
--- a/Libraries/LibGateway/RetryAllowance.cpp
+++ b/Libraries/LibGateway/RetryBudgetShare.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/RetryAllowance.h>
+#include <LibGateway/RetryBudgetShare.h>
 
 #include <algorithm>
 
@@ -17,7 +17,7 @@
 
 } // namespace
 
-RetryAllowance::Second &RetryAllowance::second(Core::Clock::Monotonic now)
+RetryBudgetShare::Second &RetryBudgetShare::second(Core::Clock::Monotonic now)
 {
     const auto number = secondNumber(now);
     auto &entry = m_seconds[static_cast<std::size_t>(number) % KeptSeconds];
@@ -26,13 +26,13 @@
     return entry;
 }
 
-void RetryAllowance::noteRequest(Core::Clock::Monotonic now)
+void RetryBudgetShare::noteRequest(Core::Clock::Monotonic now)
 {
     ++second(now).requests;
 }
 
-bool RetryAllowance::tryRepeat(const RetryBounds &bounds, std::optional<unsigned> instances,
-                               Core::Clock::Monotonic now)
+bool RetryBudgetShare::tryRepeat(const RetryBudgetLimits &bounds, std::optional<unsigned> instances,
+                                 Core::Clock::Monotonic now)
 {
     const auto newest = secondNumber(now);
     unsigned requests = 0;
--- a/Libraries/LibGateway/RetryAllowance.h
+++ b/Libraries/LibGateway/RetryBudgetShare.h
@@ -9,7 +9,7 @@
 namespace Gateway {
 
 /// What all instances together may send again to one service.
-struct RetryBounds
+struct RetryBudgetLimits
 {
     /// Repeats for each request of the window.
     double ratio = 0.1;
@@ -21,14 +21,14 @@
 /// One instance's share of a service's repeats in a sliding window. Every instance takes the ratio
 /// of its own requests and an equal part of the slack, so that no exchange is needed to keep the
 /// bound while instances are cut off.
-class RetryAllowance
+class RetryBudgetShare
 {
 public:
     /// A request of a caller came for the service.
     void noteRequest(Core::Clock::Monotonic now);
     /// Takes one repeat. False when this instance's share is used up. While the number of instances
     /// is not known, an instance has no part of the slack.
-    bool tryRepeat(const RetryBounds &bounds, std::optional<unsigned> instances,
+    bool tryRepeat(const RetryBudgetLimits &bounds, std::optional<unsigned> instances,
                    Core::Clock::Monotonic now);
 
 private:
--- a/Libraries/LibGateway/SiblingExchange.cpp
+++ b/Libraries/LibGateway/SiblingExchange.cpp
@@ -46,7 +46,7 @@
     return UpstreamFleet::hashOf(upstream.report().id);
 }
 
-void add(OthersLoad &sum, const OthersLoad &load)
+void add(SiblingLoad &sum, const SiblingLoad &load)
 {
     sum.waitingTokens.all += load.waitingTokens.all;
     sum.waitingTokens.urgent += load.waitingTokens.urgent;
@@ -121,7 +121,7 @@
         if (!m_dependencies.members.isHub())
             continue;
         sendTo(otherHubs(), encodeDataCentre());
-        sendTo(nearby, encodeElsewhere());
+        sendTo(nearby, encodeRemoteSum());
     }
 }
 
@@ -186,17 +186,18 @@
     }
 }
 
-void SiblingExchange::tellParts(const Upstream &engine, std::span<const PromptPart> parts)
+void SiblingExchange::publishParts(const Upstream &engine, std::span<const PromptPart> parts)
 {
     queueParts(upstreamHash(engine), parts);
 }
 
-void SiblingExchange::tellStored(const KvCacheStore &store, std::span<const PromptPart> parts)
+void SiblingExchange::publishStoredParts(const KvCacheStore &store,
+                                         std::span<const PromptPart> parts)
 {
     queueParts(store.holder(), parts);
 }
 
-void SiblingExchange::tellStoreLife(std::uint64_t holder, std::uint64_t epoch)
+void SiblingExchange::publishStoreEpoch(std::uint64_t holder, std::uint64_t epoch)
 {
     m_storeLives[holder] = epoch;
 }
@@ -216,19 +217,19 @@
         queue.push_back(part);
 }
 
-void SiblingExchange::tellHold(const Upstream &engine, std::chrono::milliseconds time)
+void SiblingExchange::publishPause(const Upstream &engine, std::chrono::milliseconds time)
 {
     queueNews({{{upstreamHash(engine), time}}, {}, {}});
 }
 
-void SiblingExchange::tellUnreachable(const Upstream &upstream)
+void SiblingExchange::publishUnreachable(const Upstream &upstream)
 {
     m_urgentNews.unreachable.push_back(upstreamHash(upstream));
     m_urgentTimer.cancel();
 }
 
-void SiblingExchange::tellWeights(const Upstream &engine, const std::string &model,
-                                  std::uint64_t version)
+void SiblingExchange::publishWeights(const Upstream &engine, const std::string &model,
+                                     std::uint64_t version)
 {
     queueNews({{}, {{upstreamHash(engine), Core::hash64(model), version}}, {}});
 }
@@ -261,16 +262,16 @@
 
 std::string SiblingExchange::encodeDataCentre()
 {
-    auto loads = sumOf([](const Source &it) { return !it.isDataCentre && !it.isElsewhere; });
+    auto loads = sumOf([](const Source &it) { return !it.isDataCentre && !it.isRemote; });
     for (const auto &[upstream, load] : ownLoads())
         add(loads[upstream], load);
     return encodeSum(loads, std::exchange(m_dataCentreParts, {}), Wire::Scope::DataCentre);
 }
 
-std::string SiblingExchange::encodeElsewhere()
+std::string SiblingExchange::encodeRemoteSum()
 {
     return encodeSum(sumOf([](const Source &it) { return it.isDataCentre; }),
-                     std::exchange(m_elsewhereParts, {}), Wire::Scope::Elsewhere);
+                     std::exchange(m_remoteParts, {}), Wire::Scope::Elsewhere);
 }
 
 std::string SiblingExchange::encodeSum(const Loads &loads, const PartQueue &parts,
@@ -364,7 +365,7 @@
         name = ElsewhereSource;
     auto &source = m_sources[name];
     source.isDataCentre = report.scope() == Wire::Scope::DataCentre;
-    source.isElsewhere = report.scope() == Wire::Scope::Elsewhere;
+    source.isRemote = report.scope() == Wire::Scope::Elsewhere;
     return source;
 }
 
@@ -423,7 +424,7 @@
         return;
     for (const auto hash : *report.unreachable()) {
         if (const auto upstream = m_dependencies.fleet.findByHash(hash))
-            upstream->noteUnreachable(report.instance()->str(), Upstream::UnreachableHold,
+            upstream->noteUnreachable(report.instance()->str(), Upstream::UnreachablePause,
                                       m_dependencies.clock.now());
     }
 }
@@ -434,8 +435,8 @@
         return;
     for (const auto *hold : *report.holds()) {
         if (const auto upstream = m_dependencies.fleet.findByHash(hold->upstream()))
-            upstream->holdUntil(m_dependencies.clock.now()
-                                + std::chrono::milliseconds(hold->milliseconds()));
+            upstream->pauseUntil(m_dependencies.clock.now()
+                                 + std::chrono::milliseconds(hold->milliseconds()));
     }
 }
 
@@ -457,7 +458,7 @@
         if (report.scope() == Wire::Scope::Instance)
             push(m_dataCentreParts, {entry->holder(), part}, MostPartsPerSum);
         if (report.scope() == Wire::Scope::DataCentre)
-            push(m_elsewhereParts, {entry->holder(), part}, MostPartsPerSum);
+            push(m_remoteParts, {entry->holder(), part}, MostPartsPerSum);
     }
 }
 
@@ -481,11 +482,10 @@
         std::any_of(m_sources.begin(), m_sources.end(), [](const auto &item) {
             return item.second.isDataCentre && !item.second.isSilent;
         });
-    auto sums = sumOf([hearsDataCentres](const Source &source) {
-        return !source.isElsewhere || !hearsDataCentres;
-    });
+    auto sums = sumOf(
+        [hearsDataCentres](const Source &source) { return !source.isRemote || !hearsDataCentres; });
     for (const auto &[id, upstream] : m_dependencies.fleet.all())
-        upstream->setOthersLoad(sums[upstreamHash(*upstream)]);
+        upstream->setSiblingLoad(sums[upstreamHash(*upstream)]);
 }
 
 void SiblingExchange::dropSilent()
@@ -502,7 +502,7 @@
     // Only hubs empty them by passing them on.
     if (!m_dependencies.members.isLarge() || !m_dependencies.members.isHub()) {
         m_dataCentreParts.clear();
-        m_elsewhereParts.clear();
+        m_remoteParts.clear();
     }
 }
 
--- a/Libraries/LibGateway/SiblingExchange.h
+++ b/Libraries/LibGateway/SiblingExchange.h
@@ -56,22 +56,22 @@
     boost::asio::awaitable<void> receive();
 
     /// Queues news for the next datagram.
-    void tellParts(const Upstream &engine, std::span<const PromptPart> parts);
+    void publishParts(const Upstream &engine, std::span<const PromptPart> parts);
     /// Parts as the store of parts tells them apart.
-    void tellStored(const KvCacheStore &store, std::span<const PromptPart> parts);
+    void publishStoredParts(const KvCacheStore &store, std::span<const PromptPart> parts);
     /// A store of parts answered this instance, in the life with this epoch.
-    void tellStoreLife(std::uint64_t holder, std::uint64_t epoch);
-    void tellHold(const Upstream &engine, std::chrono::milliseconds time);
+    void publishStoreEpoch(std::uint64_t holder, std::uint64_t epoch);
+    void publishPause(const Upstream &engine, std::chrono::milliseconds time);
     /// This instance could not reach the upstream. Told at once only.
-    void tellUnreachable(const Upstream &upstream);
-    void tellWeights(const Upstream &engine, const std::string &model, std::uint64_t version);
+    void publishUnreachable(const Upstream &upstream);
+    void publishWeights(const Upstream &engine, const std::string &model, std::uint64_t version);
 
     /// The next whole report of this instance. Public for tests.
     std::string encode();
     /// What a hub tells the hubs of other data centres. Public for tests.
     std::string encodeDataCentre();
     /// What a hub passes on to its own data centre. Public for tests.
-    std::string encodeElsewhere();
+    std::string encodeRemoteSum();
     /// What cannot wait for the next whole report, which repeats it. Public for tests.
     std::string encodeUrgent();
     /// Takes in a sibling's datagram. Public for tests.
@@ -96,7 +96,7 @@
         std::uint64_t model = 0;
         std::uint64_t version = 0;
     };
-    using Loads = std::unordered_map<std::uint64_t, OthersLoad>;
+    using Loads = std::unordered_map<std::uint64_t, SiblingLoad>;
     /// Who tells loads: an instance, or a hub for many.
     struct Source
     {
@@ -106,7 +106,7 @@
         bool isSilent = true;
         /// A hub's sum over its own or the other data centres.
         bool isDataCentre = false;
-        bool isElsewhere = false;
+        bool isRemote = false;
         /// Who sent it last.
         FleetMember sender;
         Loads loads;
@@ -157,7 +157,7 @@
     PartQueue m_keptParts;
     /// For a hub: what its data centre, and what all others, have told since the last sum.
     PartQueue m_dataCentreParts;
-    PartQueue m_elsewhereParts;
+    PartQueue m_remoteParts;
     News m_news;
     News m_urgentNews;
     boost::asio::steady_timer m_urgentTimer;
--- a/Libraries/LibGateway/Upstream.cpp
+++ b/Libraries/LibGateway/Upstream.cpp
@@ -13,7 +13,7 @@
 // The failure share halves in this time without answers, so that an upstream is tried again.
 constexpr std::chrono::duration<double> FailureHalfLife {3.0};
 constexpr double LeastSlowness = 0.7;
-constexpr double MostSlowness = 4;
+constexpr double MaxSlowness = 4;
 // Two instances that cannot reach an upstream within this time are not cut off by chance.
 constexpr std::chrono::milliseconds UnreachableWindow {1'500};
 // Engines read prompts in pieces of about this size.
@@ -71,10 +71,10 @@
 
 std::uint64_t Upstream::tokensBefore(bool isUrgent) const
 {
-    const auto all = m_waitingTokens.all + m_others.waitingTokens.all;
+    const auto all = m_waitingTokens.all + m_siblingLoad.waitingTokens.all;
     if (!isUrgent)
         return all;
-    const auto urgent = m_waitingTokens.urgent + m_others.waitingTokens.urgent;
+    const auto urgent = m_waitingTokens.urgent + m_siblingLoad.waitingTokens.urgent;
     // What is being read is not put aside for an urgent request.
     return urgent + std::min(all - urgent, PieceTokens);
 }
@@ -96,7 +96,7 @@
 
 void Upstream::noteSlowness(double sample)
 {
-    m_slowness += SlownessGain * (std::clamp(sample, LeastSlowness, MostSlowness) - m_slowness);
+    m_slowness += SlownessGain * (std::clamp(sample, LeastSlowness, MaxSlowness) - m_slowness);
 }
 
 void Upstream::noteUnreachable(const std::string &sibling, std::chrono::milliseconds time,
@@ -108,7 +108,7 @@
     m_unreachableFrom = sibling;
     m_unreachableSince = now;
     if (isConfirmed)
-        m_heldUntil = std::max(m_heldUntil, now + time);
+        m_pausedUntil = std::max(m_pausedUntil, now + time);
 }
 
 std::uint64_t Upstream::weights(const std::string &model) const
--- a/Libraries/LibGateway/Upstream.h
+++ b/Libraries/LibGateway/Upstream.h
@@ -18,7 +18,7 @@
 };
 
 /// What the other instances have sent to an upstream.
-struct OthersLoad
+struct SiblingLoad
 {
     WaitingTokens waitingTokens;
     unsigned inFlight = 0;
@@ -32,7 +32,7 @@
 {
 public:
     /// Nothing goes for this long to an upstream that could not be reached.
-    static constexpr std::chrono::milliseconds UnreachableHold {1'000};
+    static constexpr std::chrono::milliseconds UnreachablePause {1'000};
 
     explicit Upstream(UpstreamReport report);
 
@@ -48,7 +48,7 @@
     void takeMemory(std::uint64_t tokens) { m_memoryTokens += tokens; }
     void freeMemory(std::uint64_t tokens);
     /// The same of all instances.
-    std::uint64_t allMemoryTokens() const { return m_memoryTokens + m_others.memoryTokens; }
+    std::uint64_t allMemoryTokens() const { return m_memoryTokens + m_siblingLoad.memoryTokens; }
 
     /// Requests of this instance that it works on.
     unsigned inFlight() const { return m_inFlight; }
@@ -59,12 +59,12 @@
     void noteEnd();
 
     /// What the other instances said last of their own requests here.
-    void setOthersLoad(const OthersLoad &load) { m_others = load; }
-    const OthersLoad &othersLoad() const { return m_others; }
+    void setSiblingLoad(const SiblingLoad &load) { m_siblingLoad = load; }
+    const SiblingLoad &siblingLoad() const { return m_siblingLoad; }
     /// Tokens of all instances that are read before those of a new request.
     std::uint64_t tokensBefore(bool isUrgent) const;
     /// Requests of all instances that it works on.
-    unsigned allInFlight() const { return m_inFlight + m_others.inFlight; }
+    unsigned allInFlight() const { return m_inFlight + m_siblingLoad.inFlight; }
 
     /// The answers' fate, for judging by what it does rather than by what it says.
     void noteOutcome(bool isGood, Core::Clock::Monotonic now);
@@ -91,20 +91,20 @@
                          Core::Clock::Monotonic now);
 
     /// Until when an order keeps it from beginning requests.
-    Core::Clock::Monotonic heldUntil() const { return m_heldUntil; }
-    void holdUntil(Core::Clock::Monotonic time) { m_heldUntil = time; }
+    Core::Clock::Monotonic pausedUntil() const { return m_pausedUntil; }
+    void pauseUntil(Core::Clock::Monotonic time) { m_pausedUntil = time; }
 
 private:
     UpstreamReport m_report;
     PrefixCacheEstimate m_memory;
     WaitingTokens m_waitingTokens;
     std::uint64_t m_memoryTokens = 0;
-    OthersLoad m_others;
+    SiblingLoad m_siblingLoad;
     unsigned m_inFlight = 0;
     double m_failureShare = 0;
     Core::Clock::Monotonic m_lastOutcome = Core::Clock::Monotonic::min();
     double m_slowness = 1;
-    Core::Clock::Monotonic m_heldUntil = Core::Clock::Monotonic::min();
+    Core::Clock::Monotonic m_pausedUntil = Core::Clock::Monotonic::min();
     /// The last sibling that could not reach it, and when.
     std::string m_unreachableFrom;
     Core::Clock::Monotonic m_unreachableSince = Core::Clock::Monotonic::min();
--- a/Libraries/LibGateway/UpstreamChooser.cpp
+++ b/Libraries/LibGateway/UpstreamChooser.cpp
@@ -127,11 +127,10 @@
     if (isKnown || demand.fetchTokensPerMillisecond <= 0
         || demand.sharedTokens <= choice.cachedTokens + LeastFetchTokens)
         return;
-    const bool isElsewhere =
-        home && home != choice.upstream
-        && home->weights(demand.model) == choice.upstream->weights(demand.model)
-        && home->failureShare(limits.now) <= MostSourceFailures;
-    if (isElsewhere)
+    const bool isRemote = home && home != choice.upstream
+                          && home->weights(demand.model) == choice.upstream->weights(demand.model)
+                          && home->failureShare(limits.now) <= MostSourceFailures;
+    if (isRemote)
         choice.source = home;
     else if (demand.store && demand.sharedTokens >= KvCacheStore::LeastTokens)
         choice.isFromStore = true;
@@ -161,8 +160,8 @@
 
 bool takesRequests(const Upstream &upstream, const ChoiceLimits &limits)
 {
-    return !upstream.isGone() && !upstream.report().isDraining && upstream.heldUntil() <= limits.now
-           && upstream.inFlight() < limits.mostInFlight
+    return !upstream.isGone() && !upstream.report().isDraining
+           && upstream.pausedUntil() <= limits.now && upstream.inFlight() < limits.maxInFlight
            && !limits.excluded.contains(upstream.report().id);
 }
 
--- a/Libraries/LibGateway/UpstreamChooser.h
+++ b/Libraries/LibGateway/UpstreamChooser.h
@@ -17,7 +17,7 @@
 struct ChoiceLimits
 {
     /// Requests that this instance may have at one upstream at once.
-    unsigned mostInFlight = 1;
+    unsigned maxInFlight = 1;
     /// Upstreams that already failed the request.
     std::set<Core::UpstreamId> excluded;
     Core::Clock::Monotonic now;
--- a/Libraries/LibGateway/WeightRoller.cpp
+++ b/Libraries/LibGateway/WeightRoller.cpp
@@ -126,7 +126,7 @@
         m_dependencies.metrics.orders.add(1, {}, "unanswered");
         backOff(task, FailurePause);
     }
-    task.engine->holdUntil(Core::Clock::Monotonic::min());
+    task.engine->pauseUntil(Core::Clock::Monotonic::min());
     if (onHold)
         onHold(*task.engine, 0ms);
     m_isRolling.erase(id);
@@ -174,7 +174,7 @@
         backOff(task, ConflictPause);
         co_return false;
     }
-    task.engine->holdUntil(m_dependencies.clock.now() + HoldTime);
+    task.engine->pauseUntil(m_dependencies.clock.now() + HoldTime);
     if (onHold)
         onHold(*task.engine, HoldTime);
     // An order ends the wait of what has not begun; those requests would have to go elsewhere.
--- a/Libraries/LibPlacement/PlacementNotes.cpp
+++ b/Libraries/LibPlacement/PlacementNotes.cpp
@@ -11,7 +11,7 @@
 constexpr float AverageShare = 0.05F;
 /// Slowness halves its distance from one in this time without a new sample.
 constexpr Seconds SlownessHalfLife {5.0};
-constexpr float MostSlowness = 20;
+constexpr float MaxSlowness = 20;
 /// A first token this late is no sign of a stall yet.
 constexpr Seconds StallGrace {1.0};
 
@@ -202,7 +202,7 @@
     const auto reckoned =
         std::max(LeastReckoned, decision.terms.queueWait + decision.terms.prefill);
     const auto lateness =
-        std::clamp(taken / reckoned, 1.0 / MostSlowness, static_cast<double>(MostSlowness));
+        std::clamp(taken / reckoned, 1.0 / MaxSlowness, static_cast<double>(MaxSlowness));
     average(m_usualLateness, static_cast<float>(lateness));
     // Only an upstream that is late beside the others is slow; when all are late, load is.
     const double usual = std::max(1.0F, m_usualLateness.load(std::memory_order_relaxed));
--- a/Tests/LibGateway/TestJournal.cpp
+++ b/Tests/LibGateway/TestJournal.cpp
@@ -63,7 +63,7 @@
     Core::ManualClock clock;
     clock.advance(1h);
     HangingLog log;
-    Gateway::PoisonLedger poison;
+    Gateway::PoisonRequestTable poison;
     Gateway::GatewaySettings settings;
     settings.instance = Core::InstanceId("a");
     Gateway::FleetMembers members({settings.instance, "a", {}}, clock);
@@ -95,9 +95,9 @@
 {
     Core::ManualClock clock;
     HangingLog log;
-    Gateway::PoisonLedger poison;
+    Gateway::PoisonRequestTable poison;
     Gateway::GatewaySettings settings;
-    settings.journalKeeps = 100ms;
+    settings.journalRetention = 100ms;
     Gateway::FleetMembers members({Core::InstanceId("a"), "north", {}}, clock);
     Gateway::FleetJournal journal(log, clock, settings, poison, members);
     asio::io_context context;
@@ -112,15 +112,15 @@
     clock.advance(1h);
     HangingLog log;
     Gateway::GatewaySettings settings;
-    Gateway::PoisonLedger poison;
+    Gateway::PoisonRequestTable poison;
     const Http::Endpoint endpoint(asio::ip::make_address("10.0.0.1"), 700);
     Gateway::FleetMembers members({Core::InstanceId("a"), "north", endpoint}, clock);
     Gateway::FleetJournal journal(log, clock, settings, poison, members);
     for (int n = 0; n < 3; ++n)
-        poison.noteBreak(42, clock.now());
-    poison.noteBreak(43, clock.now());
+        poison.noteUpstreamFailure(42, clock.now());
+    poison.noteUpstreamFailure(43, clock.now());
 
-    Gateway::PoisonLedger freshPoison;
+    Gateway::PoisonRequestTable freshPoison;
     Gateway::FleetMembers fresh({Core::InstanceId("b"), "south", endpoint}, clock);
     Gateway::FleetJournal other(log, clock, settings, freshPoison, fresh);
     other.apply({9, {}, journal.announcement()});
--- a/Tests/LibGateway/TestPlacement.cpp
+++ b/Tests/LibGateway/TestPlacement.cpp
@@ -33,7 +33,7 @@
         demand.model = "m";
         demand.slots = 32;
         demand.fetchTokensPerMillisecond = 500;
-        limits.mostInFlight = 32;
+        limits.maxInFlight = 32;
         limits.now = clock.now();
         for (int n = 0; n < 6; ++n)
             add("w" + std::to_string(n));
@@ -154,11 +154,11 @@
     Fixture fixture;
     const auto first = fixture.chosen();
     auto &upstream = fixture.engine(first);
-    upstream.holdUntil(fixture.limits.now + 1s);
+    upstream.pauseUntil(fixture.limits.now + 1s);
     CHECK(fixture.chosen() != first);
-    upstream.holdUntil(fixture.limits.now);
+    upstream.pauseUntil(fixture.limits.now);
     CHECK(fixture.chosen() == first);
-    fixture.limits.mostInFlight = 1;
+    fixture.limits.maxInFlight = 1;
     upstream.noteSent(0, false);
     CHECK(fixture.chosen() != first);
     upstream.noteEnd();
@@ -192,7 +192,7 @@
 {
     Fixture fixture;
     const auto first = fixture.chosen();
-    fixture.engine(first).setOthersLoad({{80'000, 0}, 10, 0});
+    fixture.engine(first).setSiblingLoad({{80'000, 0}, 10, 0});
     CHECK(fixture.chosen() != first);
 }
 
@@ -220,7 +220,7 @@
     for (const auto &[id, count] : counts)
         CHECK(count == 10);
     fixture.engine("w3").noteOutcome(false, fixture.limits.now);
-    fixture.limits.mostInFlight = 100;
+    fixture.limits.maxInFlight = 100;
     for (int n = 0; n < 20; ++n)
         CHECK(chooseService(fixture.fleet.members("llm"), fixture.limits, random)->report().id
               != Core::UpstreamId("w3"));
--- a/Tests/LibGateway/TestRetries.cpp
+++ b/Tests/LibGateway/TestRetries.cpp
@@ -1,6 +1,6 @@
 #include <LibCore/ManualClock.h>
-#include <LibGateway/PoisonLedger.h>
-#include <LibGateway/RetryAllowance.h>
+#include <LibGateway/PoisonRequestTable.h>
+#include <LibGateway/RetryBudgetShare.h>
 
 #include <catch2/catch.hpp>
 
@@ -13,11 +13,11 @@
 {
     // Every request fails and wants a repeat: the most that instances can press for.
     constexpr unsigned Instances = 8;
-    const Gateway::RetryBounds bounds {0.2, 52, 10s};
+    const Gateway::RetryBudgetLimits bounds {0.2, 52, 10s};
     for (const unsigned perSecond : {0U, 5U, 40U}) {
         Core::ManualClock clock;
         clock.advance(1h + 370ms);
-        std::vector<Gateway::RetryAllowance> allowances(Instances);
+        std::vector<Gateway::RetryBudgetShare> allowances(Instances);
         std::deque<std::pair<Core::Clock::Monotonic, bool>> events;
         constexpr auto Step = 50ms;
         for (int step = 0; step < 1'200; ++step) {
@@ -46,7 +46,7 @@
 {
     Core::ManualClock clock;
     clock.advance(1h);
-    Gateway::RetryAllowance allowance;
+    Gateway::RetryBudgetShare allowance;
     int repeats = 0;
     while (allowance.tryRepeat({0.2, 52, 10s}, 1, clock.now()))
         ++repeats;
@@ -60,7 +60,7 @@
 {
     Core::ManualClock clock;
     clock.advance(1h);
-    Gateway::RetryAllowance allowance;
+    Gateway::RetryBudgetShare allowance;
     CHECK_FALSE(allowance.tryRepeat({0.2, 52, 10s}, std::nullopt, clock.now()));
     for (int n = 0; n < 20; ++n)
         allowance.noteRequest(clock.now());
@@ -70,19 +70,19 @@
 TEST_CASE("a request is poison after three breaks, another request is not, and memory is bounded")
 {
     Core::ManualClock clock;
-    Gateway::PoisonLedger ledger;
+    Gateway::PoisonRequestTable ledger;
     const auto digest = Gateway::requestDigest("/a", "liit", "body");
     CHECK(digest != Gateway::requestDigest("/a", "kool", "body"));
     CHECK(digest != Gateway::requestDigest("/b", "liit", "body"));
     for (int n = 0; n < 3; ++n) {
         CHECK_FALSE(ledger.isPoison(digest, clock.now()));
-        ledger.noteBreak(digest, clock.now());
+        ledger.noteUpstreamFailure(digest, clock.now());
     }
     CHECK(ledger.isPoison(digest, clock.now()));
     CHECK_FALSE(ledger.isPoison(digest + 1, clock.now()));
     for (std::uint64_t n = 0; n < 20'000; ++n) {
         clock.advance(1ms);
-        ledger.noteBreak(n + 1'000'000, clock.now());
+        ledger.noteUpstreamFailure(n + 1'000'000, clock.now());
     }
     CHECK(ledger.size() <= 10'000);
 }
--- a/Tests/LibGateway/TestSiblings.cpp
+++ b/Tests/LibGateway/TestSiblings.cpp
@@ -54,20 +54,20 @@
     Instance other("other");
     const std::vector<Gateway::PromptPart> parts {{1, 100}, {2, 200}};
     one.engine().noteSent(5'000, true);
-    one.exchange->tellWeights(one.engine(), "m", 4);
-    one.exchange->tellParts(one.engine(), parts);
-    one.exchange->tellHold(one.engine(), 500ms);
+    one.exchange->publishWeights(one.engine(), "m", 4);
+    one.exchange->publishParts(one.engine(), parts);
+    one.exchange->publishPause(one.engine(), 500ms);
     other.exchange->apply(one.exchange->encode());
-    CHECK(other.engine().othersLoad().waitingTokens.all == 5'000);
-    CHECK(other.engine().othersLoad().waitingTokens.urgent == 5'000);
-    CHECK(other.engine().othersLoad().inFlight == 1);
+    CHECK(other.engine().siblingLoad().waitingTokens.all == 5'000);
+    CHECK(other.engine().siblingLoad().waitingTokens.urgent == 5'000);
+    CHECK(other.engine().siblingLoad().inFlight == 1);
     CHECK(other.engine().weights("m") == 4);
     CHECK(other.engine().memory().cachedTokens(parts) == 300);
-    CHECK(other.engine().heldUntil() == other.clock.now() + 500ms);
+    CHECK(other.engine().pausedUntil() == other.clock.now() + 500ms);
     one.engine().noteFirstToken(5'000, true);
     one.engine().noteEnd();
     other.exchange->apply(one.exchange->encode());
-    CHECK(other.engine().othersLoad().inFlight == 0);
+    CHECK(other.engine().siblingLoad().inFlight == 0);
 }
 
 TEST_CASE("an overtaken datagram changes nothing, and another life begins anew")
@@ -78,10 +78,10 @@
     one.engine().noteSent(1'000, false);
     other.exchange->apply(one.exchange->encode());
     other.exchange->apply(old);
-    CHECK(other.engine().othersLoad().inFlight == 1);
+    CHECK(other.engine().siblingLoad().inFlight == 1);
     Instance restarted("one");
     other.exchange->apply(restarted.exchange->encode());
-    CHECK(other.engine().othersLoad().inFlight == 0);
+    CHECK(other.engine().siblingLoad().inFlight == 0);
 }
 
 TEST_CASE("the load of a silent sibling counts no more, and loads of several add up")
@@ -93,12 +93,12 @@
     two.engine().noteSent(2'000, true);
     other.exchange->apply(one.exchange->encode());
     other.exchange->apply(two.exchange->encode());
-    CHECK(other.engine().othersLoad().waitingTokens.all == 3'000);
+    CHECK(other.engine().siblingLoad().waitingTokens.all == 3'000);
     other.clock.advance(1s);
     other.exchange->apply(two.exchange->encode());
     other.clock.advance(1s);
     other.exchange->dropSilent();
-    CHECK(other.engine().othersLoad().waitingTokens.all == 2'000);
+    CHECK(other.engine().siblingLoad().waitingTokens.all == 2'000);
 }
 
 TEST_CASE("bytes that are no report, and an instance's own, are ignored")
@@ -108,12 +108,12 @@
     one.exchange->apply(std::string(200, '\xff'));
     one.engine().noteSent(1'000, false);
     one.exchange->apply(one.exchange->encode());
-    CHECK(one.engine().othersLoad().inFlight == 0);
+    CHECK(one.engine().siblingLoad().inFlight == 0);
     Instance other("other");
     auto cut = one.exchange->encode();
     cut.resize(cut.size() / 2);
     other.exchange->apply(cut);
-    CHECK(other.engine().othersLoad().inFlight == 0);
+    CHECK(other.engine().siblingLoad().inFlight == 0);
 }
 
 TEST_CASE("a sibling that no record tells of any more is known by its datagrams")
@@ -148,12 +148,12 @@
     const std::vector<Gateway::PromptPart> parts {{1, 100}, {2, 200}};
     const auto stored = Gateway::KvCacheStore::storedParts(parts, 1);
     one.stores.noteAnswer(holder, 7, one.clock.now());
-    one.exchange->tellStoreLife(holder, 7);
-    one.exchange->tellStored(*one.stores.find(holder), stored);
+    one.exchange->publishStoreEpoch(holder, 7);
+    one.exchange->publishStoredParts(*one.stores.find(holder), stored);
     other.exchange->apply(one.exchange->encode());
     REQUIRE(other.stores.storeFor(1));
     CHECK(other.stores.storeFor(1)->storedTokens(parts, 1) == 300);
-    one.exchange->tellStoreLife(holder, 8);
+    one.exchange->publishStoreEpoch(holder, 8);
     other.exchange->apply(one.exchange->encode());
     CHECK(other.stores.storeFor(1)->storedTokens(parts, 1) == 0);
 }
@@ -164,28 +164,28 @@
     Instance other("other");
     one.engine().noteSent(5'000, true);
     other.exchange->apply(one.exchange->encode());
-    one.exchange->tellHold(one.engine(), 500ms);
-    one.exchange->tellWeights(one.engine(), "m", 4);
+    one.exchange->publishPause(one.engine(), 500ms);
+    one.exchange->publishWeights(one.engine(), "m", 4);
     const auto urgent = one.exchange->encodeUrgent();
     CHECK(urgent.size() < 300);
     other.exchange->apply(urgent);
-    CHECK(other.engine().heldUntil() == other.clock.now() + 500ms);
+    CHECK(other.engine().pausedUntil() == other.clock.now() + 500ms);
     CHECK(other.engine().weights("m") == 4);
-    CHECK(other.engine().othersLoad().inFlight == 1);
+    CHECK(other.engine().siblingLoad().inFlight == 1);
     // Neither when another's report makes it add up all loads anew.
     other.exchange->apply(Instance("two").exchange->encode());
-    CHECK(other.engine().othersLoad().inFlight == 1);
+    CHECK(other.engine().siblingLoad().inFlight == 1);
     // The next whole report repeats them for whoever missed the first datagram.
     Instance third("third");
     third.exchange->apply(one.exchange->encode());
-    CHECK(third.engine().heldUntil() == third.clock.now() + 500ms);
+    CHECK(third.engine().pausedUntil() == third.clock.now() + 500ms);
     CHECK(third.engine().weights("m") == 4);
-    CHECK(third.engine().othersLoad().inFlight == 1);
+    CHECK(third.engine().siblingLoad().inFlight == 1);
     // And no other report does.
     third.clock.advance(1s);
-    const auto before = third.engine().heldUntil();
+    const auto before = third.engine().pausedUntil();
     third.exchange->apply(one.exchange->encode());
-    CHECK(third.engine().heldUntil() == before);
+    CHECK(third.engine().pausedUntil() == before);
 }
 
 TEST_CASE("in a large fleet hubs pass on the sums of data centres, each counted once")
@@ -206,7 +206,7 @@
     south.engine().noteSent(4'000, true);
     southern.engine().noteSent(8'000, true);
     const std::vector<Gateway::PromptPart> parts {{1, 100}};
-    northern.exchange->tellParts(northern.engine(), parts);
+    northern.exchange->publishParts(northern.engine(), parts);
     const auto tellNearby = [](Instance &one, Instance &other) {
         const auto report = one.exchange->encode();
         other.exchange->apply(report);
@@ -223,15 +223,15 @@
     for (int round = 0; round < 3; ++round) {
         south.exchange->apply(north.exchange->encodeDataCentre());
         north.exchange->apply(south.exchange->encodeDataCentre());
-        southern.exchange->apply(south.exchange->encodeElsewhere());
-        northern.exchange->apply(north.exchange->encodeElsewhere());
+        southern.exchange->apply(south.exchange->encodeRemoteSum());
+        northern.exchange->apply(north.exchange->encodeRemoteSum());
     }
     for (auto *instance : all)
         CHECK(instance->engine().tokensBefore(false) == 15'000);
     // Even what a former hub still passes on is counted once.
     southern.exchange->apply(north.exchange->encodeDataCentre());
     CHECK(southern.engine().tokensBefore(false) == 15'000);
-    south.exchange->apply(southern.exchange->encodeElsewhere());
+    south.exchange->apply(southern.exchange->encodeRemoteSum());
     south.exchange->apply(south.exchange->encodeDataCentre());
     CHECK(south.engine().tokensBefore(false) == 15'000);
     CHECK(southern.engine().memory().cachedTokens(parts) == 100);
@@ -252,18 +252,18 @@
     Instance one("one");
     Instance two("two");
     Instance other("other");
-    one.exchange->tellUnreachable(one.engine());
+    one.exchange->publishUnreachable(one.engine());
     other.exchange->apply(one.exchange->encodeUrgent());
     // One alone may be cut off itself, however often it says so.
-    one.exchange->tellUnreachable(one.engine());
+    one.exchange->publishUnreachable(one.engine());
     other.exchange->apply(one.exchange->encodeUrgent());
-    CHECK(other.engine().heldUntil() <= other.clock.now());
-    two.exchange->tellUnreachable(two.engine());
+    CHECK(other.engine().pausedUntil() <= other.clock.now());
+    two.exchange->publishUnreachable(two.engine());
     other.exchange->apply(two.exchange->encodeUrgent());
-    CHECK(other.engine().heldUntil() == other.clock.now() + Gateway::Upstream::UnreachableHold);
+    CHECK(other.engine().pausedUntil() == other.clock.now() + Gateway::Upstream::UnreachablePause);
     // Long ago is no confirmation.
     other.clock.advance(10s);
-    one.exchange->tellUnreachable(one.engine());
+    one.exchange->publishUnreachable(one.engine());
     other.exchange->apply(one.exchange->encodeUrgent());
-    CHECK(other.engine().heldUntil() < other.clock.now());
+    CHECK(other.engine().pausedUntil() < other.clock.now());
 }
