--- a/Libraries/LibGateway/RequestPlan.cpp
+++ b/Libraries/LibGateway/RequestPlan.cpp
@@ -55,7 +55,7 @@
     demand.parts = request.parts;
     demand.promptTokens = request.promptTokens();
     if (request.parts.size() > 1)
-        demand.homeKey = request.parts[request.parts.size() - 2].chain;
+        demand.affinityKey = request.parts[request.parts.size() - 2].chain;
     demand.sharedTokens = request.sharedTokens();
     demand.model = request.caller.model;
     demand.isUrgent = isUrgent(*request.route, request.tenant);
@@ -101,7 +101,7 @@
                                               const Service &service, const ChoiceLimits &limits)
 {
     auto demand = demandOf(gateway, request, *service.engine);
-    const auto *store = gateway.stores().storeFor(demand.homeKey);
+    const auto *store = gateway.stores().storeFor(demand.affinityKey);
     demand.store = store;
     auto chosen = chooseEngine(gateway.dependencies().fleet.members(service.name),
                                gateway.engineModel(service.name), demand, limits);
--- a/Libraries/LibGateway/UpstreamChooser.cpp
+++ b/Libraries/LibGateway/UpstreamChooser.cpp
@@ -38,18 +38,19 @@
 }
 
 /// The member that rendezvous hashing gives a session; null when there is none.
-std::shared_ptr<Upstream> homeOf(const UpstreamFleet::Members &candidates, std::uint64_t key)
+std::shared_ptr<Upstream> preferredUpstreamOf(const UpstreamFleet::Members &candidates,
+                                              std::uint64_t key)
 {
-    std::shared_ptr<Upstream> home;
+    std::shared_ptr<Upstream> preferred;
     std::uint64_t best = 0;
     for (const auto &candidate : candidates) {
         const auto rank = Core::hash64(candidate->report().id.value(), key);
-        if (!home || rank > best) {
-            home = candidate;
+        if (!preferred || rank > best) {
+            preferred = candidate;
             best = rank;
         }
     }
-    return home;
+    return preferred;
 }
 
 /// The engine that keeps the most of the prompt among those with the same weights.
@@ -121,24 +122,25 @@
 /// Names a source that may keep the session's parts where none is known to. The expected time does
 /// not count on it.
 void guessSource(EngineChoice &choice, const EngineDemand &demand, const ChoiceLimits &limits,
-                 const std::shared_ptr<Upstream> &home)
+                 const std::shared_ptr<Upstream> &preferred)
 {
     const bool isKnown = choice.source || choice.isFromStore;
     if (isKnown || demand.fetchTokensPerMillisecond <= 0
         || demand.sharedTokens <= choice.cachedTokens + LeastFetchTokens)
         return;
-    const bool isRemote = home && home != choice.upstream
-                          && home->weights(demand.model) == choice.upstream->weights(demand.model)
-                          && home->failureShare(limits.now) <= MostSourceFailures;
+    const bool isRemote =
+        preferred && preferred != choice.upstream
+        && preferred->weights(demand.model) == choice.upstream->weights(demand.model)
+        && preferred->failureShare(limits.now) <= MostSourceFailures;
     if (isRemote)
-        choice.source = home;
+        choice.source = preferred;
     else if (demand.store && demand.sharedTokens >= KvCacheStore::LeastTokens)
         choice.isFromStore = true;
     choice.isGuess = choice.source || choice.isFromStore;
 }
 
 Milliseconds cost(const EngineChoice &choice, const EngineModel &model, const EngineDemand &demand,
-                  const ChoiceLimits &limits, bool isHome)
+                  const ChoiceLimits &limits, bool isPreferred)
 {
     const auto &upstream = *choice.upstream;
     const double rate = model.tokensPerMillisecond();
@@ -151,7 +153,7 @@
         sum += (running - demand.slots + 1.0) * FullSlotCost;
     if (isOutdated(upstream, demand, OldWeightsGrace, limits.now))
         sum += OldWeightsCost;
-    if (isHome && choice.readyTokens < demand.sharedTokens)
+    if (isPreferred && choice.readyTokens < demand.sharedTokens)
         sum -= HomeCredit * Milliseconds((demand.sharedTokens - choice.readyTokens) / rate);
     return sum;
 }
@@ -175,21 +177,21 @@
             && !isOutdated(*member, demand, demand.weightsPatience, limits.now))
             candidates.push_back(member);
     }
-    const auto home = homeOf(candidates, demand.homeKey);
+    const auto preferred = preferredUpstreamOf(candidates, demand.affinityKey);
     auto holders = findHolders(members, demand, limits);
     std::optional<EngineChoice> best;
     Milliseconds bestCost {0};
     for (const auto &candidate : candidates) {
         const auto &holder = holders[candidate->weights(demand.model)];
         auto choice = expectedAt(candidate, model, demand, holder);
-        const auto sum = cost(choice, model, demand, limits, candidate == home);
+        const auto sum = cost(choice, model, demand, limits, candidate == preferred);
         if (!best || sum < bestCost) {
             best = std::move(choice);
             bestCost = sum;
         }
     }
     if (best)
-        guessSource(*best, demand, limits, home);
+        guessSource(*best, demand, limits, preferred);
     return best;
 }
 
--- a/Libraries/LibGateway/UpstreamChooser.h
+++ b/Libraries/LibGateway/UpstreamChooser.h
@@ -29,7 +29,7 @@
     std::span<const PromptPart> parts;
     unsigned promptTokens = 0;
     /// Of the last part that other requests share; equal for all requests of one session.
-    std::uint64_t homeKey = 0;
+    std::uint64_t affinityKey = 0;
     unsigned sharedTokens = 0;
     /// Whether engines read it before what is less urgent.
     bool isUrgent = false;
--- a/Libraries/LibMembership/SharedItem.cpp
+++ b/Libraries/LibMembership/SharedItem.cpp
@@ -26,12 +26,15 @@
 
 struct KeyMaker
 {
-    SharedKey operator()(const ConfigurationMark &) const { return {ConfigurationKind, 0, 0, 0}; }
+    SharedKey operator()(const ConfigurationGeneration &) const
+    {
+        return {ConfigurationKind, 0, 0, 0};
+    }
     SharedKey operator()(const PoisonCrash &item) const
     {
         return {PoisonKind, item.requestDigest, item.crash, 0};
     }
-    SharedKey operator()(const UpstreamMark &item) const
+    SharedKey operator()(const UpstreamHealth &item) const
     {
         return {UpstreamKind, item.upstream, item.incarnation, 0};
     }
@@ -39,7 +42,7 @@
     {
         return {DemandKind, item.team, item.group, item.origin};
     }
-    SharedKey operator()(const PrefixHome &item) const
+    SharedKey operator()(const PrefixLocation &item) const
     {
         return {PrefixKind, item.prefix, item.upstream, 0};
     }
@@ -58,14 +61,17 @@
 
 struct NumberMaker
 {
-    Numbers operator()(const ConfigurationMark &item) const { return {item.generation, 0}; }
+    Numbers operator()(const ConfigurationGeneration &item) const { return {item.generation, 0}; }
     Numbers operator()(const PoisonCrash &) const { return {}; }
-    Numbers operator()(const UpstreamMark &item) const
+    Numbers operator()(const UpstreamHealth &item) const
     {
         return {static_cast<std::uint32_t>(item.condition), 0};
     }
     Numbers operator()(const TeamDemand &item) const { return {item.inUse, item.waiting}; }
-    Numbers operator()(const PrefixHome &item) const { return {item.heat, item.incarnation}; }
+    Numbers operator()(const PrefixLocation &item) const
+    {
+        return {item.requestsPerMinute, item.incarnation};
+    }
     Numbers operator()(const UpstreamLoad &item) const { return {item.outstanding, 0}; }
 };
 
@@ -76,11 +82,11 @@
 
 struct ValueMaker
 {
-    double operator()(const ConfigurationMark &) const { return ConfigurationValue; }
+    double operator()(const ConfigurationGeneration &) const { return ConfigurationValue; }
     double operator()(const PoisonCrash &) const { return PoisonValue; }
-    double operator()(const UpstreamMark &) const { return UpstreamValue; }
+    double operator()(const UpstreamHealth &) const { return UpstreamValue; }
     double operator()(const TeamDemand &item) const { return 1.0 + item.inUse + item.waiting; }
-    double operator()(const PrefixHome &item) const { return item.heat; }
+    double operator()(const PrefixLocation &item) const { return item.requestsPerMinute; }
     double operator()(const UpstreamLoad &item) const
     {
         return std::sqrt(static_cast<double>(item.outstanding));
@@ -88,7 +94,7 @@
 };
 
 // A prefix is told again when it is seen this many times as hot as is known.
-constexpr std::uint32_t HeatFactor = 2;
+constexpr std::uint32_t RequestRateFactor = 2;
 
 /// Whether a count moved by more than a quarter, and by more than one.
 bool movedMuch(std::uint32_t before, std::uint32_t after)
@@ -102,24 +108,25 @@
 {
     const SharedItem &observed;
 
-    bool operator()(const ConfigurationMark &known) const
+    bool operator()(const ConfigurationGeneration &known) const
     {
-        return std::get<ConfigurationMark>(observed).generation > known.generation;
+        return std::get<ConfigurationGeneration>(observed).generation > known.generation;
     }
     bool operator()(const PoisonCrash &) const { return false; }
-    bool operator()(const UpstreamMark &known) const
+    bool operator()(const UpstreamHealth &known) const
     {
-        return std::get<UpstreamMark>(observed).condition < known.condition;
+        return std::get<UpstreamHealth>(observed).condition < known.condition;
     }
     bool operator()(const TeamDemand &known) const
     {
         const auto &now = std::get<TeamDemand>(observed);
         return movedMuch(known.inUse, now.inUse) || movedMuch(known.waiting, now.waiting);
     }
-    bool operator()(const PrefixHome &known) const
+    bool operator()(const PrefixLocation &known) const
     {
-        const auto &now = std::get<PrefixHome>(observed);
-        return now.incarnation != known.incarnation || now.heat / HeatFactor >= known.heat;
+        const auto &now = std::get<PrefixLocation>(observed);
+        return now.incarnation != known.incarnation
+               || now.requestsPerMinute / RequestRateFactor >= known.requestsPerMinute;
     }
     bool operator()(const UpstreamLoad &known) const
     {
@@ -159,7 +166,7 @@
 {
     const auto key = keyOf(item);
     const auto numbers = std::visit(NumberMaker {}, item);
-    const auto *mark = std::get_if<ConfigurationMark>(&item);
+    const auto *mark = std::get_if<ConfigurationGeneration>(&item);
     const auto object = mark != nullptr ? mark->digest : key.object;
     const auto ageCount = static_cast<std::uint32_t>(
         std::clamp<std::chrono::milliseconds::rep>(age.count(), 0, UINT32_MAX));
@@ -171,20 +178,20 @@
 {
     switch (record.kind()) {
     case ConfigurationKind:
-        return ConfigurationMark {record.first(), record.object()};
+        return ConfigurationGeneration {record.first(), record.object()};
     case PoisonKind:
         return PoisonCrash {record.subject(), record.object()};
     case UpstreamKind:
         if (record.first() != static_cast<std::uint32_t>(UpstreamCondition::Leaving)
             && record.first() != static_cast<std::uint32_t>(UpstreamCondition::Failing))
             return std::nullopt;
-        return UpstreamMark {record.subject(), record.object(),
-                             static_cast<UpstreamCondition>(record.first())};
+        return UpstreamHealth {record.subject(), record.object(),
+                               static_cast<UpstreamCondition>(record.first())};
     case DemandKind:
         return TeamDemand {record.subject(), record.object(), record.origin(), record.first(),
                            record.second()};
     case PrefixKind:
-        return PrefixHome {record.subject(), record.object(), record.second(), record.first()};
+        return PrefixLocation {record.subject(), record.object(), record.second(), record.first()};
     case LoadKind:
         return UpstreamLoad {record.subject(), record.origin(), record.first()};
     default:
--- a/Libraries/LibMembership/SharedItem.h
+++ b/Libraries/LibMembership/SharedItem.h
@@ -15,7 +15,7 @@
 // already.
 
 /// The newest configuration generation that the sender has in force.
-struct ConfigurationMark
+struct ConfigurationGeneration
 {
     std::uint32_t generation = 0;
     std::uint64_t digest = 0;
@@ -36,7 +36,7 @@
 };
 
 /// An upstream process that takes no work or fails it.
-struct UpstreamMark
+struct UpstreamHealth
 {
     std::uint64_t upstream = 0;
     std::uint64_t incarnation = 0;
@@ -55,14 +55,14 @@
 };
 
 /// A hot prefix and an upstream that holds it. The digest is seeded by team, model and weights.
-struct PrefixHome
+struct PrefixLocation
 {
     std::uint64_t prefix = 0;
     std::uint64_t upstream = 0;
     /// The low half of the upstream's incarnation.
     std::uint32_t incarnation = 0;
     /// Requests a minute, as the sender sees them.
-    std::uint32_t heat = 0;
+    std::uint32_t requestsPerMinute = 0;
 };
 
 /// Requests that one instance has running at an upstream.
@@ -73,8 +73,8 @@
     std::uint32_t outstanding = 0;
 };
 
-using SharedItem = std::variant<ConfigurationMark, PoisonCrash, UpstreamMark, TeamDemand,
-                                PrefixHome, UpstreamLoad>;
+using SharedItem = std::variant<ConfigurationGeneration, PoisonCrash, UpstreamHealth, TeamDemand,
+                                PrefixLocation, UpstreamLoad>;
 
 /// How long an item is believed without being renewed. An item's age travels with it.
 std::chrono::milliseconds lifetime(const SharedItem &item);
--- a/Libraries/LibMembership/SharedState.cpp
+++ b/Libraries/LibMembership/SharedState.cpp
@@ -30,7 +30,7 @@
 /// The configuration's version is its generation, which the log decides; other items count on.
 std::uint32_t nextVersion(const SharedItem &item, std::uint32_t known)
 {
-    const auto *mark = std::get_if<ConfigurationMark>(&item);
+    const auto *mark = std::get_if<ConfigurationGeneration>(&item);
     return mark != nullptr ? mark->generation : known + 1;
 }
 
--- a/Libraries/LibPlacement/CandidateSet.cpp
+++ b/Libraries/LibPlacement/CandidateSet.cpp
@@ -53,11 +53,12 @@
     return set;
 }
 
-std::size_t CandidateSet::homes(std::uint64_t key, std::size_t count,
-                                std::span<std::uint16_t, MaxHomes> positions) const
+std::size_t
+CandidateSet::preferredUpstreams(std::uint64_t key, std::size_t count,
+                                 std::span<std::uint16_t, MaxPreferredUpstreams> positions) const
 {
-    count = std::min({count, MaxHomes, m_slots.size()});
-    std::array<float, MaxHomes> scores {};
+    count = std::min({count, MaxPreferredUpstreams, m_slots.size()});
+    std::array<float, MaxPreferredUpstreams> scores {};
     std::size_t n = 0;
     // Hashes below this cannot rank even with the greatest weight, so that most candidates cost
     // one hash and one comparison.
--- a/Libraries/LibPlacement/CandidateSet.h
+++ b/Libraries/LibPlacement/CandidateSet.h
@@ -8,7 +8,7 @@
 namespace Placement {
 
 /// Homes of a prefix that are looked at; a wider prefix counts every candidate as a home.
-constexpr std::size_t MaxHomes = 16;
+constexpr std::size_t MaxPreferredUpstreams = 16;
 
 /// The upstreams that may serve a group's requests, and the homes of prefixes among them by
 /// weighted rendezvous hashing. Immutable; equal sets give equal homes on every instance. Made
@@ -25,9 +25,9 @@
     /// Position in slots(). The slot must be a member.
     std::size_t position(UpstreamSlot slot) const { return m_positions[slot]; }
     /// Writes the positions of the `count` best homes of the key, best first, and returns how
-    /// many there are. At most MaxHomes.
-    std::size_t homes(std::uint64_t key, std::size_t count,
-                      std::span<std::uint16_t, MaxHomes> positions) const;
+    /// many there are. At most MaxPreferredUpstreams.
+    std::size_t preferredUpstreams(std::uint64_t key, std::size_t count,
+                                   std::span<std::uint16_t, MaxPreferredUpstreams> positions) const;
     /// Keeps the `count` best homes of the key among the positions, best first.
     void narrow(std::uint64_t key, std::size_t count, std::span<std::uint16_t> positions) const;
 
--- a/Libraries/LibPlacement/Forward.h
+++ b/Libraries/LibPlacement/Forward.h
@@ -2,15 +2,15 @@
 
 namespace Placement {
 
-class BeliefIndex;
+class PrefixCacheIndex;
 class CandidateSet;
 class Placement;
-class PromptPieces;
+class PromptBlocks;
 class UpstreamTable;
 struct CacheScope;
 struct Decision;
 struct Explanation;
-struct HotBelief;
+struct FrequentPrefix;
 struct LoadReport;
 struct PlacementRequest;
 struct PlacementSettings;
--- a/Libraries/LibPlacement/Placement.cpp
+++ b/Libraries/LibPlacement/Placement.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t SampleSize = 16;
 
 /// A piece unused for longer than this is ever less likely to be cached still.
-constexpr std::chrono::seconds BeliefLifetime {40};
+constexpr std::chrono::seconds PrefixCacheEntryLifetime {40};
 
 } // namespace
 
@@ -21,7 +21,7 @@
     : m_clock(clock)
     , m_start(clock.now())
     , m_settings(settings)
-    , m_beliefs(settings.beliefCapacity)
+    , m_prefixIndex(settings.prefixIndexCapacity)
 { }
 
 void Placement::noteIncarnation(UpstreamSlot slot, std::uint64_t incarnation)
@@ -94,17 +94,17 @@
               });
 }
 
-BeliefTime Placement::now() const
+IndexTime Placement::now() const
 {
     // One millisecond at the start, since zero stands for never.
     const auto elapsed = m_clock.now() - m_start + std::chrono::milliseconds(1);
-    return std::chrono::duration_cast<BeliefTime>(elapsed);
+    return std::chrono::duration_cast<IndexTime>(elapsed);
 }
 
 void Placement::gather(Scratch &scratch, const PlacementRequest &request,
                        const CandidateSet &candidates, std::mt19937_64 &rng) const
 {
-    creditPieces(scratch, request, candidates);
+    creditBlocks(scratch, request, candidates);
     const auto slots = candidates.slots();
     if (slots.size() <= WholeSetSize) {
         for (const auto slot : slots)
@@ -128,76 +128,81 @@
         scratch.add(slot);
 }
 
-void Placement::creditPieces(Scratch &scratch, const PlacementRequest &request,
+void Placement::creditBlocks(Scratch &scratch, const PlacementRequest &request,
                              const CandidateSet &candidates) const
 {
-    const auto hashes = request.pieces.hashes();
+    const auto hashes = request.blocks.hashes();
     bool isNarrowed = false;
     for (std::size_t i = 0; i < hashes.size(); ++i) {
-        Belief belief;
-        const bool isKnown = m_beliefs.find(hashes[i], belief);
-        if (m_settings.usesHomes) {
-            const auto count = homeCount(isKnown ? belief.rate(scratch.now) : 0);
-            if (!isNarrowed && count <= MaxHomes && count < candidates.size()) {
-                scratch.homeCount = candidates.homes(hashes[i], count, scratch.homes);
+        PrefixCacheEntry entry;
+        const bool isKnown = m_prefixIndex.find(hashes[i], entry);
+        if (m_settings.usesPreferredUpstreams) {
+            const auto count = preferredUpstreamCount(isKnown ? entry.rate(scratch.now) : 0);
+            if (!isNarrowed && count <= MaxPreferredUpstreams && count < candidates.size()) {
+                scratch.preferredUpstreamCount =
+                    candidates.preferredUpstreams(hashes[i], count, scratch.preferredUpstreams);
                 isNarrowed = true;
-            } else if (isNarrowed && count < scratch.homeCount) {
-                candidates.narrow(hashes[i], count, {scratch.homes.data(), scratch.homeCount});
-                scratch.homeCount = count;
+            } else if (isNarrowed && count < scratch.preferredUpstreamCount) {
+                candidates.narrow(
+                    hashes[i], count,
+                    {scratch.preferredUpstreams.data(), scratch.preferredUpstreamCount});
+                scratch.preferredUpstreamCount = count;
             }
         }
-        if (isKnown && m_settings.usesBeliefs)
-            creditHolders(scratch, belief, i, candidates);
-        for (std::size_t home = 0; home < scratch.homeCount; ++home)
-            scratch.creditHome(candidates.slots()[scratch.homes[home]], i, m_settings.homePrior);
+        if (isKnown && m_settings.usesPrefixIndex)
+            creditHolders(scratch, entry, i, candidates);
+        for (std::size_t preferred = 0; preferred < scratch.preferredUpstreamCount; ++preferred)
+            scratch.creditPreferredUpstream(
+                candidates.slots()[scratch.preferredUpstreams[preferred]], i,
+                m_settings.preferredUpstreamPrior);
     }
 }
 
-void Placement::creditHolders(Scratch &scratch, const Belief &belief, std::size_t piece,
+void Placement::creditHolders(Scratch &scratch, const PrefixCacheEntry &entry, std::size_t block,
                               const CandidateSet &candidates) const
 {
-    for (const auto &holder : belief.holders) {
+    for (const auto &holder : entry.holders) {
         if (!m_upstreams.isCurrent(holder.slot, holder.epoch) || !candidates.contains(holder.slot))
             continue;
         auto chance = survival(holder.lastUse, scratch.now);
-        if (scratch.isHome(candidates.position(holder.slot)))
-            chance = std::max(chance, m_settings.homePrior);
-        scratch.credit(holder.slot, piece, chance);
+        if (scratch.isPreferred(candidates.position(holder.slot)))
+            chance = std::max(chance, m_settings.preferredUpstreamPrior);
+        scratch.credit(holder.slot, block, chance);
     }
 }
 
-std::size_t Placement::homeCount(double rate) const
+std::size_t Placement::preferredUpstreamCount(double rate) const
 {
     if (!m_settings.usesWidth)
         return 1;
     const auto instances = static_cast<double>(m_instances.load(std::memory_order_relaxed));
     const double utilisation =
         rate * instances * m_prefillPerRequest.load(std::memory_order_relaxed);
-    const auto count = std::ceil(utilisation / m_settings.homeUtilisation);
+    const auto count = std::ceil(utilisation / m_settings.preferredUpstreamUtilisation);
     return std::max<std::size_t>(1, static_cast<std::size_t>(count));
 }
 
-double Placement::survival(BeliefTime lastUse, BeliefTime now)
+double Placement::survival(IndexTime lastUse, IndexTime now)
 {
     constexpr double Fresh = 0.95;
     if (now <= lastUse)
         return Fresh;
     const auto age = now - lastUse;
-    if (age <= BeliefLifetime)
+    if (age <= PrefixCacheEntryLifetime)
         return Fresh;
-    const Seconds lifetime = BeliefLifetime;
+    const Seconds lifetime = PrefixCacheEntryLifetime;
     return Fresh * std::exp(1 - Seconds(age) / lifetime);
 }
 
 void Placement::reckon(CostTerms &terms, const PlacementRequest &request,
-                       const CandidateSet &candidates, BeliefTime now) const
+                       const CandidateSet &candidates, IndexTime now) const
 {
     const auto &state = m_upstreams.state(terms.slot);
     terms.epoch = state.epoch.load(std::memory_order_acquire);
     const auto excluded = request.excluded;
     terms.isExcluded = !m_upstreams.isCurrent(terms.slot, terms.epoch)
                        || std::find(excluded.begin(), excluded.end(), terms.slot) != excluded.end();
-    const auto missed = request.pieces.promptTokens() - terms.expectedCachedTokens;
+    const auto missed = request.blocks.promptTokens() - terms.expectedCachedTokens;
     if (m_settings.usesSlowness) {
         terms.slowness = slowness(state, now);
         terms.stall = stall(state, now);
@@ -212,9 +217,9 @@
         terms.queueWait + terms.prefill * m_settings.missWeight + terms.stall + terms.preference;
 }
 
-Seconds Placement::queueWait(const UpstreamState &state, double rate, BeliefTime now) const
+Seconds Placement::queueWait(const UpstreamState &state, double rate, IndexTime now) const
 {
-    const BeliefTime reportedAt(state.reportedAt.load(std::memory_order_relaxed));
+    const IndexTime reportedAt(state.reportedAt.load(std::memory_order_relaxed));
     const Seconds age = now - std::min(reportedAt, now);
     RecentSends::Sum sent;
     double siblings = 1;
--- a/Libraries/LibPlacement/Placement.h
+++ b/Libraries/LibPlacement/Placement.h
@@ -11,9 +11,9 @@
 struct PlacementSettings
 {
     /// Pieces that beliefs are kept for; one takes about 120 bytes.
-    std::size_t beliefCapacity = 65536;
-    bool usesBeliefs = true;
-    bool usesHomes = true;
+    std::size_t prefixIndexCapacity = 65536;
+    bool usesPrefixIndex = true;
+    bool usesPreferredUpstreams = true;
     bool usesWidth = true;
     bool usesOwnSends = true;
     bool usesSlowness = true;
@@ -22,11 +22,11 @@
     /// How much a missed token weighs beside a waited one: storing it evicts another's.
     double missWeight = 4;
     /// Chance that a home holds a piece that nothing else is known of.
-    double homePrior = 0.2;
+    double preferredUpstreamPrior = 0.2;
     /// Sends of each sibling, as a share of this instance's own, that a load report may miss.
     double siblingShare = 0.1;
     /// Load that one upstream should carry for one prefix before the prefix gets another home.
-    double homeUtilisation = 0.4;
+    double preferredUpstreamUtilisation = 0.4;
     /// Candidates whose cost lies this share above the least count as equal.
     double nearEqualShare = 0.05;
     /// Candidates whose cost lies this far above the least count as equal.
@@ -36,7 +36,7 @@
 /// One request to place.
 struct PlacementRequest
 {
-    const PromptPieces &pieces;
+    const PromptBlocks &blocks;
     /// Added to each candidate's cost, by position in the set; empty adds nothing. A caller
     /// expresses own capacity first by it.
     std::span<const Seconds> preference;
@@ -50,7 +50,7 @@
     UpstreamSlot slot = 0;
     std::uint32_t epoch = 0;
     std::uint64_t expectedCachedTokens = 0;
-    bool isHome = false;
+    bool isPreferred = false;
     bool isExcluded = false;
     Seconds queueWait {0};
     Seconds prefill {0};
@@ -71,7 +71,7 @@
     std::uint32_t epoch = 0;
     std::uint64_t expectedCachedTokens = 0;
     CostTerms terms;
-    BeliefTime decidedAt {0};
+    IndexTime decidedAt {0};
     Core::Clock::Monotonic sentAt;
 };
 
@@ -87,7 +87,7 @@
 };
 
 /// One belief to hand to a sibling.
-struct HotBelief
+struct FrequentPrefix
 {
     struct At
     {
@@ -95,9 +95,9 @@
         std::uint64_t incarnation = 0;
         std::chrono::milliseconds age {0};
     };
-    PieceHash piece = 0;
+    BlockHash block = 0;
     /// Requests, decayed; comparable between instances.
-    float heat = 0;
+    float decayedRequests = 0;
     std::vector<At> holders;
 };
 
@@ -126,13 +126,13 @@
                                    std::mt19937_64 &rng, Explanation *explanation = nullptr);
 
     /// The request was sent as decided.
-    void noteSent(Decision &decision, const PromptPieces &pieces);
+    void noteSent(Decision &decision, const PromptBlocks &blocks);
     /// The first token came, with the cached tokens that the upstream reported, if it did.
-    void noteFirstToken(const Decision &decision, const PromptPieces &pieces,
+    void noteFirstToken(const Decision &decision, const PromptBlocks &blocks,
                         std::optional<std::uint64_t> cachedTokens);
     /// The answer's end told how many prompt tokens had been cached; for engines that say it only
     /// then, in place of noteFirstToken()'s argument.
-    void noteCachedTokens(const Decision &decision, const PromptPieces &pieces,
+    void noteCachedTokens(const Decision &decision, const PromptBlocks &blocks,
                           std::uint64_t cachedTokens);
     /// The answer ended after the time since it was sent.
     void noteAnswer(const Decision &decision);
@@ -141,48 +141,49 @@
     /// Reports of another than the present incarnation are ignored or start a new one.
     void noteLoadReport(UpstreamSlot slot, const LoadReport &report);
     /// The upstream stored or evicted the piece the given time ago.
-    void noteCacheEvent(UpstreamSlot slot, std::uint64_t incarnation, PieceHash piece,
+    void noteCacheEvent(UpstreamSlot slot, std::uint64_t incarnation, BlockHash block,
                         bool isStored, std::chrono::milliseconds age);
 
     /// The hottest beliefs that this instance's own sends met within the time, most requests
     /// first. A short time gives a sibling that is up what is new, a long one a sibling that
     /// starts what there is.
-    std::vector<HotBelief>
-    exportHot(std::size_t limit, std::chrono::milliseconds within = std::chrono::hours(1)) const;
+    std::vector<FrequentPrefix>
+    exportFrequentPrefixes(std::size_t limit,
+                           std::chrono::milliseconds within = std::chrono::hours(1)) const;
     /// Takes over a sibling's beliefs of upstreams whose incarnation is the present one here.
-    void importHot(std::span<const HotBelief> beliefs);
+    void importFrequentPrefixes(std::span<const FrequentPrefix> entries);
 
     const UpstreamTable &upstreams() const { return m_upstreams; }
 
 private:
     struct Scratch;
 
-    BeliefTime now() const;
+    IndexTime now() const;
     /// Gathers candidates: believed holders, homes, and all or a sample of the rest.
     void gather(Scratch &scratch, const PlacementRequest &request, const CandidateSet &candidates,
                 std::mt19937_64 &rng) const;
     /// Adds what the holders and homes of each piece are expected to have cached.
-    void creditPieces(Scratch &scratch, const PlacementRequest &request,
+    void creditBlocks(Scratch &scratch, const PlacementRequest &request,
                       const CandidateSet &candidates) const;
     /// Credits the piece at the index to its believed holders.
-    void creditHolders(Scratch &scratch, const Belief &belief, std::size_t piece,
+    void creditHolders(Scratch &scratch, const PrefixCacheEntry &entry, std::size_t block,
                        const CandidateSet &candidates) const;
     /// Homes that a prefix with this many own requests a second should have.
-    std::size_t homeCount(double rate) const;
+    std::size_t preferredUpstreamCount(double rate) const;
     /// The chance that a piece last used then is still cached.
-    static double survival(BeliefTime lastUse, BeliefTime now);
+    static double survival(IndexTime lastUse, IndexTime now);
     /// Fills in every term but the cached tokens, which must stand.
     void reckon(CostTerms &terms, const PlacementRequest &request, const CandidateSet &candidates,
-                BeliefTime now) const;
+                IndexTime now) const;
     /// Time until the upstream gets to a request sent now: its last report, what was sent since,
     /// less what it has worked off at the rate (tokens a second).
-    Seconds queueWait(const UpstreamState &state, double rate, BeliefTime now) const;
+    Seconds queueWait(const UpstreamState &state, double rate, IndexTime now) const;
     /// Adjusts how many times longer than reckoned the upstream takes.
-    void learnSlowness(const Decision &decision, UpstreamState &state, BeliefTime now);
+    void learnSlowness(const Decision &decision, UpstreamState &state, IndexTime now);
     /// The present factor for an upstream that answers late.
-    static double slowness(const UpstreamState &state, BeliefTime now);
+    static double slowness(const UpstreamState &state, IndexTime now);
     /// Time without progress on own requests, beyond a grace.
-    static Seconds stall(const UpstreamState &state, BeliefTime now);
+    static Seconds stall(const UpstreamState &state, IndexTime now);
     /// Writes the weighed candidates, the chosen first.
     void explain(Explanation &explanation, const Scratch &scratch, UpstreamSlot chosen) const;
 
@@ -190,7 +191,7 @@
     const Core::Clock::Monotonic m_start;
     const PlacementSettings m_settings;
     UpstreamTable m_upstreams;
-    BeliefIndex m_beliefs;
+    PrefixCacheIndex m_prefixIndex;
     std::atomic<std::size_t> m_instances {1};
     /// Upstream time that a request takes, for the width of a prefix.
     std::atomic<float> m_prefillPerRequest {0.1F};
--- a/Libraries/LibPlacement/PlacementNotes.cpp
+++ b/Libraries/LibPlacement/PlacementNotes.cpp
@@ -30,39 +30,39 @@
 
 } // namespace
 
-double Placement::slowness(const UpstreamState &state, BeliefTime now)
+double Placement::slowness(const UpstreamState &state, IndexTime now)
 {
-    const BeliefTime at(state.slownessAt.load(std::memory_order_relaxed));
+    const IndexTime at(state.slownessAt.load(std::memory_order_relaxed));
     const Seconds age = now - std::min(at, now);
     const double factor = state.slowness.load(std::memory_order_relaxed);
     return 1 + (factor - 1) * std::exp2(-(age / SlownessHalfLife));
 }
 
-Seconds Placement::stall(const UpstreamState &state, BeliefTime now)
+Seconds Placement::stall(const UpstreamState &state, IndexTime now)
 {
     if (state.waiting.load(std::memory_order_relaxed) == 0)
         return Seconds(0);
-    const BeliefTime at(state.progressAt.load(std::memory_order_relaxed));
+    const IndexTime at(state.progressAt.load(std::memory_order_relaxed));
     const Seconds age = now - std::min(at, now);
     return std::max(Seconds(0), age - StallGrace);
 }
 
-void Placement::noteSent(Decision &decision, const PromptPieces &pieces)
+void Placement::noteSent(Decision &decision, const PromptBlocks &blocks)
 {
     decision.sentAt = m_clock.now();
     if (!m_upstreams.isCurrent(decision.slot, decision.epoch))
         return;
     const auto time = now();
     auto &state = m_upstreams.state(decision.slot);
-    const auto missed = pieces.promptTokens() - decision.expectedCachedTokens;
+    const auto missed = blocks.promptTokens() - decision.expectedCachedTokens;
     state.sends.add(time, missed);
     if (state.waiting.fetch_add(1, std::memory_order_relaxed) == 0)
         state.progressAt.store(time.count(), std::memory_order_relaxed);
-    for (const auto hash : pieces.hashes())
-        m_beliefs.recordUse(hash, decision.slot, decision.epoch, time);
+    for (const auto hash : blocks.hashes())
+        m_prefixIndex.recordUse(hash, decision.slot, decision.epoch, time);
 }
 
-void Placement::noteFirstToken(const Decision &decision, const PromptPieces &pieces,
+void Placement::noteFirstToken(const Decision &decision, const PromptBlocks &blocks,
                                std::optional<std::uint64_t> cachedTokens)
 {
     if (!m_upstreams.isCurrent(decision.slot, decision.epoch))
@@ -73,18 +73,18 @@
     state.progressAt.store(time.count(), std::memory_order_relaxed);
     learnSlowness(decision, state, time);
     if (cachedTokens)
-        noteCachedTokens(decision, pieces, *cachedTokens);
+        noteCachedTokens(decision, blocks, *cachedTokens);
     // The prefill just done left every piece in the cache.
-    for (const auto hash : pieces.hashes())
-        m_beliefs.recordHolder(hash, decision.slot, decision.epoch, time);
+    for (const auto hash : blocks.hashes())
+        m_prefixIndex.recordHolder(hash, decision.slot, decision.epoch, time);
 }
 
-void Placement::noteCachedTokens(const Decision &decision, const PromptPieces &pieces,
+void Placement::noteCachedTokens(const Decision &decision, const PromptBlocks &blocks,
                                  std::uint64_t cachedTokens)
 {
     if (!m_upstreams.isCurrent(decision.slot, decision.epoch))
         return;
-    const auto missed = pieces.promptTokens() - std::min(pieces.promptTokens(), cachedTokens);
+    const auto missed = blocks.promptTokens() - std::min(blocks.promptTokens(), cachedTokens);
     const auto &state = m_upstreams.state(decision.slot);
     average(m_prefillPerRequest, static_cast<float>(missed) / state.prefillTokensPerSecond);
 }
@@ -108,7 +108,7 @@
     auto &state = m_upstreams.state(slot);
     const auto sinceStart = std::max(report.measuredAt, m_start) - m_start;
     const auto at =
-        std::chrono::duration_cast<BeliefTime>(sinceStart + std::chrono::milliseconds(1));
+        std::chrono::duration_cast<IndexTime>(sinceStart + std::chrono::milliseconds(1));
     if (at.count() < state.reportedAt.load(std::memory_order_relaxed))
         return;
     state.running.store(report.running, std::memory_order_relaxed);
@@ -117,7 +117,7 @@
     state.reportedAt.store(at.count(), std::memory_order_relaxed);
 }
 
-void Placement::noteCacheEvent(UpstreamSlot slot, std::uint64_t incarnation, PieceHash piece,
+void Placement::noteCacheEvent(UpstreamSlot slot, std::uint64_t incarnation, BlockHash block,
                                bool isStored, std::chrono::milliseconds age)
 {
     if (!m_settings.usesCacheEvents)
@@ -127,38 +127,38 @@
     if (!m_upstreams.noteIncarnation(slot, incarnation) || !m_upstreams.isCurrent(slot, epoch))
         return;
     const auto time = now();
-    const auto lag = std::chrono::duration_cast<BeliefTime>(std::max(age, age.zero()));
+    const auto lag = std::chrono::duration_cast<IndexTime>(std::max(age, age.zero()));
     const auto at = time - std::min(time, lag);
     if (isStored)
-        m_beliefs.recordHolder(piece, slot, epoch, at);
+        m_prefixIndex.recordHolder(block, slot, epoch, at);
     else
-        m_beliefs.removeHolder(piece, slot, at);
+        m_prefixIndex.removeHolder(block, slot, at);
 }
 
-std::vector<HotBelief> Placement::exportHot(std::size_t limit,
-                                            std::chrono::milliseconds within) const
+std::vector<FrequentPrefix>
+Placement::exportFrequentPrefixes(std::size_t limit, std::chrono::milliseconds within) const
 {
     const auto time = now();
-    std::vector<Belief> hot;
-    const auto isRecent = [&](BeliefTime use) { return time - std::min(time, use) <= within; };
-    m_beliefs.forEach([&](const Belief &belief) {
-        if (isRecent(belief.usedAt))
-            hot.push_back(belief);
+    std::vector<PrefixCacheEntry> hot;
+    const auto isRecent = [&](IndexTime use) { return time - std::min(time, use) <= within; };
+    m_prefixIndex.forEach([&](const PrefixCacheEntry &entry) {
+        if (isRecent(entry.usedAt))
+            hot.push_back(entry);
     });
     const auto count = std::min(limit, hot.size());
     std::partial_sort(hot.begin(), hot.begin() + static_cast<std::ptrdiff_t>(count), hot.end(),
-                      [time](const Belief &left, const Belief &right) {
+                      [time](const PrefixCacheEntry &left, const PrefixCacheEntry &right) {
                           const auto first = left.rate(time);
                           const auto second = right.rate(time);
-                          return first != second ? first > second : left.piece < right.piece;
+                          return first != second ? first > second : left.block < right.block;
                       });
     hot.resize(count);
 
-    std::vector<HotBelief> exported;
+    std::vector<FrequentPrefix> exported;
     exported.reserve(count);
-    for (const auto &belief : hot) {
-        HotBelief out {belief.piece, belief.heatNow(time), {}};
-        for (const auto &holder : belief.holders) {
+    for (const auto &entry : hot) {
+        FrequentPrefix out {entry.block, entry.decayedRequestsNow(time), {}};
+        for (const auto &holder : entry.holders) {
             if (!m_upstreams.isCurrent(holder.slot, holder.epoch) || !isRecent(holder.lastUse))
                 continue;
             const auto age = time - std::min(time, holder.lastUse);
@@ -170,12 +170,12 @@
     return exported;
 }
 
-void Placement::importHot(std::span<const HotBelief> beliefs)
+void Placement::importFrequentPrefixes(std::span<const FrequentPrefix> entries)
 {
     const auto time = now();
-    for (const auto &belief : beliefs) {
-        m_beliefs.importHeat(belief.piece, belief.heat, time);
-        for (const auto &holder : belief.holders) {
+    for (const auto &entry : entries) {
+        m_prefixIndex.importRequests(entry.block, entry.decayedRequests, time);
+        for (const auto &holder : entry.holders) {
             const auto slot = m_upstreams.find(holder.upstream);
             if (!slot)
                 continue;
@@ -183,15 +183,15 @@
             const auto epoch = state.epoch.load(std::memory_order_acquire);
             if (state.incarnation != holder.incarnation || !m_upstreams.isCurrent(*slot, epoch))
                 continue;
-            const auto age = std::chrono::duration_cast<BeliefTime>(holder.age);
+            const auto age = std::chrono::duration_cast<IndexTime>(holder.age);
             // Zero would stand for never.
-            const auto lastUse = time - std::min(time - BeliefTime(1), age);
-            m_beliefs.recordHolder(belief.piece, *slot, epoch, lastUse);
+            const auto lastUse = time - std::min(time - IndexTime(1), age);
+            m_prefixIndex.recordHolder(entry.block, *slot, epoch, lastUse);
         }
     }
 }
 
-void Placement::learnSlowness(const Decision &decision, UpstreamState &state, BeliefTime now)
+void Placement::learnSlowness(const Decision &decision, UpstreamState &state, IndexTime now)
 {
     // Reckoned time below this is mostly noise.
     constexpr Seconds LeastReckoned {0.1};
--- a/Libraries/LibPlacement/PlacementScratch.cpp
+++ b/Libraries/LibPlacement/PlacementScratch.cpp
@@ -4,10 +4,10 @@
 
 namespace Placement {
 
-void Placement::Scratch::begin(BeliefTime time)
+void Placement::Scratch::begin(IndexTime time)
 {
     count = 0;
-    homeCount = 0;
+    preferredUpstreamCount = 0;
     now = time;
     if (++stamp == 0) {
         stamps.fill(0);
@@ -28,30 +28,32 @@
     return &weighed[count++];
 }
 
-void Placement::Scratch::credit(UpstreamSlot slot, std::size_t piece, double chance)
+void Placement::Scratch::credit(UpstreamSlot slot, std::size_t block, double chance)
 {
     auto *entry = add(slot);
-    if (entry == nullptr || entry->pieces != piece)
+    if (entry == nullptr || entry->blocks != block)
         return;
     entry->chance = std::min(entry->chance, chance);
-    entry->cachedTokens += entry->chance * static_cast<double>(PieceTokens);
-    ++entry->pieces;
+    entry->cachedTokens += entry->chance * static_cast<double>(BlockTokens);
+    ++entry->blocks;
 }
 
-void Placement::Scratch::creditHome(UpstreamSlot slot, std::size_t piece, double chance)
+void Placement::Scratch::creditPreferredUpstream(UpstreamSlot slot, std::size_t block,
+                                                 double chance)
 {
     auto *entry = add(slot);
     if (entry == nullptr)
         return;
-    entry->terms.isHome = true;
-    while (entry->pieces <= piece)
-        credit(slot, entry->pieces, chance);
+    entry->terms.isPreferred = true;
+    while (entry->blocks <= block)
+        credit(slot, entry->blocks, chance);
 }
 
-bool Placement::Scratch::isHome(std::size_t position) const
+bool Placement::Scratch::isPreferred(std::size_t position) const
 {
-    const auto end = homes.begin() + static_cast<std::ptrdiff_t>(homeCount);
-    return std::find(homes.begin(), end, position) != end;
+    const auto end =
+        preferredUpstreams.begin() + static_cast<std::ptrdiff_t>(preferredUpstreamCount);
+    return std::find(preferredUpstreams.begin(), end, position) != end;
 }
 
 } // namespace Placement
--- a/Libraries/LibPlacement/PlacementScratch.h
+++ b/Libraries/LibPlacement/PlacementScratch.h
@@ -12,7 +12,7 @@
 {
     CostTerms terms;
     /// Pieces credited so far; a chain ends at the first piece that is not believed cached.
-    std::size_t pieces = 0;
+    std::size_t blocks = 0;
     /// Chance that the last credited piece is cached.
     double chance = 1;
     double cachedTokens = 0;
@@ -27,20 +27,20 @@
     std::array<std::uint16_t, MaxUpstreams> index {};
     std::array<std::uint32_t, MaxUpstreams> stamps {};
     std::uint32_t stamp = 0;
-    std::array<std::uint16_t, MaxHomes> homes {};
-    std::size_t homeCount = 0;
-    BeliefTime now {0};
+    std::array<std::uint16_t, MaxPreferredUpstreams> preferredUpstreams {};
+    std::size_t preferredUpstreamCount = 0;
+    IndexTime now {0};
 
     /// Starts a decision.
-    void begin(BeliefTime time);
+    void begin(IndexTime time);
     /// The entry of the upstream, added if there is room; null if not.
     Weighed *add(UpstreamSlot slot);
     /// Credits the piece at the index to the upstream if its chain reaches up to it.
-    void credit(UpstreamSlot slot, std::size_t piece, double chance);
+    void credit(UpstreamSlot slot, std::size_t block, double chance);
     /// Credits every piece up to the index to a home of the piece.
-    void creditHome(UpstreamSlot slot, std::size_t piece, double chance);
+    void creditPreferredUpstream(UpstreamSlot slot, std::size_t block, double chance);
     /// Whether the position is among the present homes.
-    bool isHome(std::size_t position) const;
+    bool isPreferred(std::size_t position) const;
 };
 
 } // namespace Placement
--- a/Libraries/LibPlacement/BeliefIndex.h
+++ b/Libraries/LibPlacement/PrefixCacheIndex.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibPlacement/PromptPieces.h>
+#include <LibPlacement/PromptBlocks.h>
 
 #include <chrono>
 #include <functional>
@@ -14,7 +14,7 @@
 using UpstreamSlot = std::uint32_t;
 
 /// Time since the index was made.
-using BeliefTime = std::chrono::duration<std::uint32_t, std::milli>;
+using IndexTime = std::chrono::duration<std::uint32_t, std::milli>;
 
 /// The belief that one upstream holds one piece.
 struct Holder
@@ -24,49 +24,49 @@
     /// another epoch than the present one is void.
     std::uint32_t epoch = 0;
     /// When the piece was last known to be used there.
-    BeliefTime lastUse {0};
+    IndexTime lastUse {0};
 };
 
 /// Upstreams that one piece is believed at; the least recently used gives way to a new one.
 constexpr std::size_t MaxHolders = 8;
 
 /// What is believed of one piece.
-struct Belief
+struct PrefixCacheEntry
 {
-    PieceHash piece = 0;
-    /// Requests for the piece, decaying with HeatDecay.
-    float heat = 0;
-    BeliefTime heatAt {0};
+    BlockHash block = 0;
+    /// Requests for the piece, decaying with RequestDecay.
+    float decayedRequests = 0;
+    IndexTime decayedAt {0};
     /// When this instance itself last sent a request for the piece.
-    BeliefTime usedAt {0};
+    IndexTime usedAt {0};
     std::array<Holder, MaxHolders> holders {};
 
     /// The heat, decayed up to now.
-    float heatNow(BeliefTime now) const;
+    float decayedRequestsNow(IndexTime now) const;
     /// Requests a second for the piece, as this instance sees them.
-    double rate(BeliefTime now) const;
+    double rate(IndexTime now) const;
 };
 
 /// A bounded table of beliefs. All memory is taken at construction; the coldest belief of a bucket
 /// gives way. Safe from several threads: each shard has its own lock, held for one bucket's work.
-class BeliefIndex
+class PrefixCacheIndex
 {
 public:
     /// Room for about this many pieces.
-    explicit BeliefIndex(std::size_t capacity);
+    explicit PrefixCacheIndex(std::size_t capacity);
 
     /// Copies the belief of the piece. Returns false if there is none.
-    bool find(PieceHash piece, Belief &belief) const;
+    bool find(BlockHash block, PrefixCacheEntry &entry) const;
     /// Counts a request for the piece and marks the upstream as a holder used now.
-    void recordUse(PieceHash piece, UpstreamSlot slot, std::uint32_t epoch, BeliefTime now);
+    void recordUse(BlockHash block, UpstreamSlot slot, std::uint32_t epoch, IndexTime now);
     /// Marks the upstream as a holder last used at the time, unless a later use is known.
-    void recordHolder(PieceHash piece, UpstreamSlot slot, std::uint32_t epoch, BeliefTime lastUse);
+    void recordHolder(BlockHash block, UpstreamSlot slot, std::uint32_t epoch, IndexTime lastUse);
     /// Forgets that the upstream holds the piece, unless a use after the time is known.
-    void removeHolder(PieceHash piece, UpstreamSlot slot, BeliefTime upTo);
+    void removeHolder(BlockHash block, UpstreamSlot slot, IndexTime upTo);
     /// Adds heat that another instance saw.
-    void importHeat(PieceHash piece, float heat, BeliefTime now);
+    void importRequests(BlockHash block, float decayedRequests, IndexTime now);
     /// Calls visit with a copy of every belief. Takes the shards' locks one at a time.
-    void forEach(const std::function<void(const Belief &)> &visit) const;
+    void forEach(const std::function<void(const PrefixCacheEntry &)> &visit) const;
 
 private:
     static constexpr std::size_t Shards = 64;
@@ -74,7 +74,7 @@
 
     struct Bucket
     {
-        std::array<Belief, BucketSize> beliefs {};
+        std::array<PrefixCacheEntry, BucketSize> entries {};
     };
     struct Shard
     {
@@ -82,16 +82,16 @@
         std::vector<Bucket> buckets;
     };
 
-    Shard &shardOf(PieceHash piece) const { return m_shards[piece % Shards]; }
+    Shard &shardOf(BlockHash block) const { return m_shards[block % Shards]; }
     /// The bucket of the piece in its shard.
-    Bucket &bucketOf(Shard &shard, PieceHash piece) const
+    Bucket &bucketOf(Shard &shard, BlockHash block) const
     {
-        return shard.buckets[(piece / Shards) % shard.buckets.size()];
+        return shard.buckets[(block / Shards) % shard.buckets.size()];
     }
     /// The belief of the piece in the bucket, or null.
-    static Belief *findIn(Bucket &bucket, PieceHash piece);
+    static PrefixCacheEntry *findIn(Bucket &bucket, BlockHash block);
     /// The belief of the piece, in place of the coldest one if it is new.
-    static Belief &findOrReplace(Bucket &bucket, PieceHash piece, BeliefTime now);
+    static PrefixCacheEntry &findOrReplace(Bucket &bucket, BlockHash block, IndexTime now);
 
     std::unique_ptr<Shard[]> m_shards;
 };
--- /dev/null
+++ b/Libraries/LibPlacement/PromptBlocks.cpp
@@ -0,0 +1,45 @@
+#include <LibCore/Hash.h>
+#include <LibPlacement/PromptBlocks.h>
+
+#include <algorithm>
+
+namespace Placement {
+
+namespace {
+
+constexpr std::size_t BlockBytes = BlockTokens * BytesPerToken;
+
+/// The seed of a scope's chains. Each part is hashed apart, so that no two lists of parts run
+/// together.
+BlockHash scopeSeed(const CacheScope &scope)
+{
+    auto seed = Core::hash64(scope.team.value());
+    seed = Core::hash64(scope.model.value(), seed);
+    return Core::hash64(scope.weightsVersion, seed);
+}
+
+} // namespace
+
+PromptBlocks PromptBlocks::create(const CacheScope &scope, std::string_view prompt)
+{
+    PromptBlocks blocks;
+    auto hash = scopeSeed(scope);
+    while (prompt.size() >= BlockBytes && blocks.m_count < MaxBlocks) {
+        hash = Core::hash64(prompt.substr(0, BlockBytes), hash);
+        blocks.m_hashes[blocks.m_count++] = hash;
+        prompt.remove_prefix(BlockBytes);
+    }
+    blocks.m_tailTokens = (prompt.size() + BytesPerToken - 1) / BytesPerToken;
+    return blocks;
+}
+
+PromptBlocks PromptBlocks::fromHashes(std::span<const BlockHash> hashes, std::uint64_t tailTokens)
+{
+    PromptBlocks blocks;
+    blocks.m_count = std::min(hashes.size(), MaxBlocks);
+    std::copy_n(hashes.begin(), blocks.m_count, blocks.m_hashes.begin());
+    blocks.m_tailTokens = tailTokens + (hashes.size() - blocks.m_count) * BlockTokens;
+    return blocks;
+}
+
+} // namespace Placement
--- a/Libraries/LibPlacement/UpstreamTable.cpp
+++ b/Libraries/LibPlacement/UpstreamTable.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-void RecentSends::add(BeliefTime now, std::uint64_t tokens)
+void RecentSends::add(IndexTime now, std::uint64_t tokens)
 {
     const std::uint64_t number = (now.count() / BucketMilliseconds) & NumberMask;
     auto &bucket = m_buckets[number % Buckets];
@@ -36,7 +36,7 @@
     } while (!bucket.compare_exchange_weak(word, next, std::memory_order_relaxed));
 }
 
-RecentSends::Sum RecentSends::since(BeliefTime time, BeliefTime now) const
+RecentSends::Sum RecentSends::since(IndexTime time, IndexTime now) const
 {
     const std::uint64_t last = now.count() / BucketMilliseconds;
     std::uint64_t first = time.count() / BucketMilliseconds;
--- a/Libraries/LibPlacement/UpstreamTable.h
+++ b/Libraries/LibPlacement/UpstreamTable.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/Clock.h>
 #include <LibCore/Identifier.h>
-#include <LibPlacement/BeliefIndex.h>
+#include <LibPlacement/PrefixCacheIndex.h>
 
 #include <atomic>
 #include <optional>
@@ -51,9 +51,9 @@
         std::uint64_t tokens = 0;
         std::uint32_t requests = 0;
     };
-    void add(BeliefTime now, std::uint64_t tokens);
+    void add(IndexTime now, std::uint64_t tokens);
     /// What was sent in or after the time, as far as the ring reaches back.
-    Sum since(BeliefTime time, BeliefTime now) const;
+    Sum since(IndexTime time, IndexTime now) const;
     void clear();
 
 private:
--- a/Libraries/LibRouter/AdminPort.cpp
+++ b/Libraries/LibRouter/AdminPort.cpp
@@ -41,7 +41,7 @@
     json::object terms;
     terms["upstream"] = row.upstream.value();
     terms["cached_tokens"] = row.terms.expectedCachedTokens;
-    terms["home"] = row.terms.isHome;
+    terms["home"] = row.terms.isPreferred;
     terms["excluded"] = row.terms.isExcluded;
     terms["queue_wait_s"] = row.terms.queueWait.count();
     terms["prefill_s"] = row.terms.prefill.count();
@@ -143,19 +143,19 @@
         throw Core::Error(Core::ErrorKind::UnknownModel);
     const Placement::CacheScope scope {Core::TeamId(fieldOf(parsed.get_object(), "team")),
                                        model->id, model->weightsVersion};
-    const auto pieces =
-        Placement::PromptPieces::create(scope, fieldOf(parsed.get_object(), "prompt"));
+    const auto blocks =
+        Placement::PromptBlocks::create(scope, fieldOf(parsed.get_object(), "prompt"));
     const auto group = m_instance.directory().group(model->upstreamGroup);
     json::array rows;
     if (group.candidates) {
         Placement::Explanation explanation;
         std::mt19937_64 rng(std::random_device {}());
-        (void)m_instance.placement().choose({pieces, {}, {}}, *group.candidates, rng, &explanation);
+        (void)m_instance.placement().choose({blocks, {}, {}}, *group.candidates, rng, &explanation);
         for (const auto &row : explanation.rows)
             rows.push_back(describe(row));
     }
     json::object answer;
-    answer["prompt_tokens"] = pieces.promptTokens();
+    answer["prompt_tokens"] = blocks.promptTokens();
     answer["candidates"] = std::move(rows);
     return answer;
 }
--- a/Libraries/LibRouter/CompletionRelay.cpp
+++ b/Libraries/LibRouter/CompletionRelay.cpp
@@ -41,7 +41,7 @@
     , m_context(std::move(context))
     , m_call(std::move(call))
     , m_model(model)
-    , m_pieces(Placement::PromptPieces::create({m_context.team->id, model.id, model.weightsVersion},
+    , m_blocks(Placement::PromptBlocks::create({m_context.team->id, model.id, model.weightsVersion},
                                                m_call.promptText()))
     , m_sink(AnswerSink::create(exchange, m_call, "cmpl-" + m_context.requestId))
 { }
@@ -74,7 +74,7 @@
     ticket.group = m_model.upstreamGroup;
     ticket.team = m_context.team->id;
     ticket.priorityClass = m_context.priorityClass->id;
-    ticket.expectedTokens = m_pieces.promptTokens() + tokenLimit(m_call, m_model);
+    ticket.expectedTokens = m_blocks.promptTokens() + tokenLimit(m_call, m_model);
     ticket.deadline = m_context.arrivedAt + m_context.priorityClass->queueTimeout;
     auto slot = co_await awaitAdmission(m_instance, std::move(ticket), m_exchange);
     m_instance.metrics().queueWait.observe(slot.grant().waited, m_context.labels());
@@ -149,7 +149,7 @@
             if (isPassedOver(*upstream, strictness))
                 excluded.push_back(upstream->slot());
         }
-        const Placement::PlacementRequest request {m_pieces, {}, excluded};
+        const Placement::PlacementRequest request {m_blocks, {}, excluded};
         if (auto decision =
                 m_instance.placement().choose(request, *group.candidates, threadRandom()))
             return decision;
@@ -162,7 +162,7 @@
 {
     const InFlightGuard guard(*upstream, m_isSuspect);
     auto &placement = m_instance.placement();
-    placement.noteSent(decision, m_pieces);
+    placement.noteSent(decision, m_blocks);
     const auto attemptId = m_context.requestId + '.' + std::to_string(m_tried.size());
     const auto resumedFrom = m_progress.tokens;
     bool hasToken = false;
@@ -213,7 +213,7 @@
     options.priority = m_grant.enginePriority;
     options.firstToken = [this, decision, &hasToken] {
         hasToken = true;
-        m_instance.placement().noteFirstToken(decision, m_pieces, std::nullopt);
+        m_instance.placement().noteFirstToken(decision, m_blocks, std::nullopt);
         if (m_tried.empty())
             m_instance.admission().noteFirstToken(m_grant.id);
     };
@@ -249,7 +249,7 @@
     m_instance.retryBudget(m_model.upstreamGroup).noteSuccess();
     auto &placement = m_instance.placement();
     if (m_progress.cachedTokens)
-        placement.noteCachedTokens(decision, m_pieces, *m_progress.cachedTokens);
+        placement.noteCachedTokens(decision, m_blocks, *m_progress.cachedTokens);
     placement.noteAnswer(decision);
     const auto labels = m_context.labels();
     auto &metrics = m_instance.metrics();
--- a/Libraries/LibRouter/CompletionRelay.h
+++ b/Libraries/LibRouter/CompletionRelay.h
@@ -59,7 +59,7 @@
     CallContext m_context;
     CompletionCall m_call;
     const Configuration::Model &m_model;
-    Placement::PromptPieces m_pieces;
+    Placement::PromptBlocks m_blocks;
     std::unique_ptr<AnswerSink> m_sink;
     AnswerProgress m_progress;
     std::vector<Placement::UpstreamSlot> m_tried;
--- a/Libraries/LibSiblings/SharedStateBridge.cpp
+++ b/Libraries/LibSiblings/SharedStateBridge.cpp
@@ -12,10 +12,11 @@
 
 constexpr std::size_t PublishedSuspects = 64;
 constexpr std::size_t PublishedPrefixes = 128;
-constexpr std::size_t MostWaitingHomes = 8192;
+constexpr std::size_t MaxPendingPrefixLocations = 8192;
 
 /// A request hotter than this a minute is shared as this.
-constexpr float MostHeat = static_cast<float>(std::numeric_limits<std::uint16_t>::max());
+constexpr float MaxRequestsPerMinute =
+    static_cast<float>(std::numeric_limits<std::uint16_t>::max());
 
 } // namespace
 
@@ -35,7 +36,7 @@
     retryImports();
     const auto configuration = m_instance.configuration();
     if (configuration.generation > 0) {
-        Membership::ConfigurationMark mark;
+        Membership::ConfigurationGeneration mark;
         mark.generation = static_cast<std::uint32_t>(configuration.generation);
         m_state.publish(mark);
     }
@@ -52,7 +53,7 @@
     for (const auto &upstream : m_instance.directory().all()) {
         if (!upstream->isLeaving())
             continue;
-        Membership::UpstreamMark mark;
+        Membership::UpstreamHealth mark;
         mark.upstream = Core::hash64(upstream->id().value());
         mark.incarnation = upstream->incarnation();
         mark.condition = Membership::UpstreamCondition::Leaving;
@@ -62,14 +63,15 @@
 
 void SharedStateBridge::publishPrefixes()
 {
-    for (const auto &belief : m_instance.placement().exportHot(PublishedPrefixes)) {
-        for (const auto &holder : belief.holders) {
-            Membership::PrefixHome home;
-            home.prefix = belief.piece;
-            home.upstream = Core::hash64(holder.upstream.value());
-            home.incarnation = static_cast<std::uint32_t>(holder.incarnation);
-            home.heat = static_cast<std::uint32_t>(std::min(belief.heat, MostHeat));
-            m_state.publish(home);
+    for (const auto &prefix : m_instance.placement().exportFrequentPrefixes(PublishedPrefixes)) {
+        for (const auto &holder : prefix.holders) {
+            Membership::PrefixLocation location;
+            location.prefix = prefix.block;
+            location.upstream = Core::hash64(holder.upstream.value());
+            location.incarnation = static_cast<std::uint32_t>(holder.incarnation);
+            location.requestsPerMinute =
+                static_cast<std::uint32_t>(std::min(prefix.decayedRequests, MaxRequestsPerMinute));
+            m_state.publish(location);
         }
     }
 }
@@ -89,17 +91,17 @@
 
 void SharedStateBridge::receive(const Membership::SharedItem &item, std::chrono::milliseconds age)
 {
-    if (const auto *mark = std::get_if<Membership::ConfigurationMark>(&item))
+    if (const auto *mark = std::get_if<Membership::ConfigurationGeneration>(&item))
         take(*mark);
     else if (const auto *crash = std::get_if<Membership::PoisonCrash>(&item))
         take(*crash, age);
-    else if (const auto *upstream = std::get_if<Membership::UpstreamMark>(&item))
+    else if (const auto *upstream = std::get_if<Membership::UpstreamHealth>(&item))
         take(*upstream);
-    else if (const auto *home = std::get_if<Membership::PrefixHome>(&item))
-        take(*home, age);
+    else if (const auto *location = std::get_if<Membership::PrefixLocation>(&item))
+        take(*location, age);
 }
 
-void SharedStateBridge::take(const Membership::ConfigurationMark &mark)
+void SharedStateBridge::take(const Membership::ConfigurationGeneration &mark)
 {
     if (mark.generation > m_instance.configuration().generation && m_newerConfiguration)
         m_newerConfiguration(mark.generation);
@@ -114,7 +116,7 @@
     m_instance.suspects().merge(records);
 }
 
-void SharedStateBridge::take(const Membership::UpstreamMark &mark)
+void SharedStateBridge::take(const Membership::UpstreamHealth &mark)
 {
     if (mark.condition != Membership::UpstreamCondition::Leaving)
         return;
@@ -125,34 +127,36 @@
                    {{"upstream", upstream->id().value()}, {"source", "sibling"}});
 }
 
-void SharedStateBridge::take(const Membership::PrefixHome &home, std::chrono::milliseconds age)
+void SharedStateBridge::take(const Membership::PrefixLocation &location,
+                             std::chrono::milliseconds age)
 {
     // A starting instance gets a sibling's beliefs before it has heard from the upstreams.
-    if (!import(home, age) && m_waitingHomes.size() < MostWaitingHomes)
-        m_waitingHomes.push_back({home, m_instance.clock().now() - age});
+    if (!import(location, age) && m_pendingPrefixLocations.size() < MaxPendingPrefixLocations)
+        m_pendingPrefixLocations.push_back({location, m_instance.clock().now() - age});
 }
 
-bool SharedStateBridge::import(const Membership::PrefixHome &home, std::chrono::milliseconds age)
+bool SharedStateBridge::import(const Membership::PrefixLocation &location,
+                               std::chrono::milliseconds age)
 {
-    const auto upstream = findUpstream(home.upstream);
-    if (!upstream || static_cast<std::uint32_t>(upstream->incarnation()) != home.incarnation)
+    const auto upstream = findUpstream(location.upstream);
+    if (!upstream || static_cast<std::uint32_t>(upstream->incarnation()) != location.incarnation)
         return false;
-    Placement::HotBelief belief;
-    belief.piece = home.prefix;
-    belief.heat = static_cast<float>(home.heat);
-    belief.holders.push_back({upstream->id(), upstream->incarnation(), age});
-    const std::array beliefs {std::move(belief)};
-    m_instance.placement().importHot(beliefs);
+    Placement::FrequentPrefix prefix;
+    prefix.block = location.prefix;
+    prefix.decayedRequests = static_cast<float>(location.requestsPerMinute);
+    prefix.holders.push_back({upstream->id(), upstream->incarnation(), age});
+    const std::array prefixes {std::move(prefix)};
+    m_instance.placement().importFrequentPrefixes(prefixes);
     return true;
 }
 
 void SharedStateBridge::retryImports()
 {
     const auto now = m_instance.clock().now();
-    std::erase_if(m_waitingHomes, [this, now](const WaitingHome &waiting) {
+    std::erase_if(m_pendingPrefixLocations, [this, now](const PendingPrefixLocation &waiting) {
         const auto age =
             std::chrono::duration_cast<std::chrono::milliseconds>(now - waiting.observed);
-        return age > Membership::lifetime(waiting.home) || import(waiting.home, age);
+        return age > Membership::lifetime(waiting.location) || import(waiting.location, age);
     });
 }
 
--- a/Libraries/LibSiblings/SharedStateBridge.h
+++ b/Libraries/LibSiblings/SharedStateBridge.h
@@ -30,13 +30,13 @@
 
 private:
     void receive(const Membership::SharedItem &item, std::chrono::milliseconds age);
-    void take(const Membership::ConfigurationMark &mark);
+    void take(const Membership::ConfigurationGeneration &mark);
     void take(const Membership::PoisonCrash &crash, std::chrono::milliseconds age);
-    void take(const Membership::UpstreamMark &mark);
-    void take(const Membership::PrefixHome &home, std::chrono::milliseconds age);
+    void take(const Membership::UpstreamHealth &mark);
+    void take(const Membership::PrefixLocation &location, std::chrono::milliseconds age);
     /// Hands a sibling's belief to the placement; false while the upstream is not known here
     /// under the incarnation that the belief is about.
-    bool import(const Membership::PrefixHome &home, std::chrono::milliseconds age);
+    bool import(const Membership::PrefixLocation &location, std::chrono::milliseconds age);
     void retryImports();
     Router::UpstreamPtr findUpstream(std::uint64_t idHash) const;
     void publishUpstreams();
@@ -47,12 +47,12 @@
     Membership::SharedState m_state;
 
     /// A belief that came before this instance had heard from its upstream.
-    struct WaitingHome
+    struct PendingPrefixLocation
     {
-        Membership::PrefixHome home;
+        Membership::PrefixLocation location;
         Core::Clock::Monotonic observed;
     };
-    std::vector<WaitingHome> m_waitingHomes;
+    std::vector<PendingPrefixLocation> m_pendingPrefixLocations;
 };
 
 } // namespace Siblings
--- a/Tests/LibGateway/TestPlacement.cpp
+++ b/Tests/LibGateway/TestPlacement.cpp
@@ -29,7 +29,7 @@
         demand.parts = parts;
         demand.promptTokens = 11'000;
         demand.sharedTokens = 5'000;
-        demand.homeKey = 12;
+        demand.affinityKey = 12;
         demand.model = "m";
         demand.slots = 32;
         demand.fetchTokensPerMillisecond = 500;
@@ -71,12 +71,12 @@
     Fixture one;
     Fixture other;
     CHECK(one.chosen() == other.chosen());
-    std::map<std::string, int> homes;
+    std::map<std::string, int> preferredUpstreams;
     for (std::uint64_t session = 0; session < 300; ++session) {
-        one.demand.homeKey = session;
-        ++homes[one.chosen()];
+        one.demand.affinityKey = session;
+        ++preferredUpstreams[one.chosen()];
     }
-    CHECK(homes.size() == 6);
+    CHECK(preferredUpstreams.size() == 6);
 }
 
 TEST_CASE("an engine that keeps the shared parts is preferred, until it has much more to read")
@@ -97,7 +97,7 @@
 TEST_CASE("parts that nobody is known to keep are asked for at the session's home, or the store")
 {
     Fixture fixture;
-    const auto home = fixture.chosen();
+    const auto preferred = fixture.chosen();
     // The home itself has nobody else to ask while there is no store.
     CHECK_FALSE(fixture.choose()->source);
     CHECK_FALSE(fixture.choose()->isFromStore);
@@ -105,10 +105,10 @@
     store.noteAnswer(1);
     fixture.demand.store = &store;
     CHECK(fixture.choose()->isFromStore);
-    fixture.engine(home).noteSent(60'000, true);
+    fixture.engine(preferred).noteSent(60'000, true);
     const auto elsewhere = fixture.choose();
     REQUIRE(elsewhere->source);
-    CHECK(elsewhere->source->report().id.value() == home);
+    CHECK(elsewhere->source->report().id.value() == preferred);
     CHECK_FALSE(elsewhere->isFromStore);
     // The guess is no reason to expect less reading.
     CHECK(elsewhere->readyTokens == 0);
@@ -120,15 +120,15 @@
 TEST_CASE("the home is not asked for parts when it has other weights or fails its requests")
 {
     Fixture fixture;
-    const auto home = fixture.chosen();
-    fixture.engine(home).noteSent(60'000, true);
+    const auto preferred = fixture.chosen();
+    fixture.engine(preferred).noteSent(60'000, true);
     REQUIRE(fixture.choose()->source);
     for (int n = 0; n < 8; ++n)
-        fixture.engine(home).noteOutcome(false, fixture.limits.now);
+        fixture.engine(preferred).noteOutcome(false, fixture.limits.now);
     CHECK_FALSE(fixture.choose()->source);
     Fixture other;
-    other.engine(home).noteSent(60'000, true);
-    other.engine(home).noteWeights("m", 2);
+    other.engine(preferred).noteSent(60'000, true);
+    other.engine(preferred).noteWeights("m", 2);
     CHECK_FALSE(other.choose()->source);
 }
 
--- a/Tests/LibMembership/TestSharedState.cpp
+++ b/Tests/LibMembership/TestSharedState.cpp
@@ -19,14 +19,14 @@
             items.emplace_back(PoisonCrash {rng() % 3, rng() % 4});
             break;
         case 1:
-            items.emplace_back(UpstreamMark {rng() % 3, rng() % 2, UpstreamCondition::Leaving});
+            items.emplace_back(UpstreamHealth {rng() % 3, rng() % 2, UpstreamCondition::Leaving});
             break;
         case 2:
-            items.emplace_back(
-                PrefixHome {rng() % 5, rng() % 3, 1, static_cast<std::uint32_t>(1 + rng() % 100)});
+            items.emplace_back(PrefixLocation {rng() % 5, rng() % 3, 1,
+                                               static_cast<std::uint32_t>(1 + rng() % 100)});
             break;
         default:
-            items.emplace_back(ConfigurationMark {static_cast<std::uint32_t>(rng() % 9), 7});
+            items.emplace_back(ConfigurationGeneration {static_cast<std::uint32_t>(rng() % 9), 7});
         }
     }
     return items;
@@ -114,13 +114,13 @@
     const Core::ManualClock clock;
     SharedState state(clock, {}, {});
     for (std::uint32_t n = 1; n <= 100; ++n)
-        state.publish(PrefixHome {n, 1, 1, n});
-    state.publish(ConfigurationMark {3, 7});
-    state.publish(UpstreamMark {1, 1, UpstreamCondition::Leaving});
+        state.publish(PrefixLocation {n, 1, 1, n});
+    state.publish(ConfigurationGeneration {3, 7});
+    state.publish(UpstreamHealth {1, 1, UpstreamCondition::Leaving});
     const auto records = state.pack(4 * SharedRecordBytes + 3);
     REQUIRE(records.size() == 4);
-    CHECK(std::holds_alternative<ConfigurationMark>(*itemFromWire(records[0])));
-    CHECK(std::holds_alternative<UpstreamMark>(*itemFromWire(records[1])));
+    CHECK(std::holds_alternative<ConfigurationGeneration>(*itemFromWire(records[0])));
+    CHECK(std::holds_alternative<UpstreamHealth>(*itemFromWire(records[1])));
     CHECK(records[2].first() == 100);
 }
 
@@ -128,11 +128,11 @@
 {
     Core::ManualClock clock;
     SharedState state(clock, {}, {});
-    state.publish(ConfigurationMark {5, 7});
-    state.publish(ConfigurationMark {4, 6});
+    state.publish(ConfigurationGeneration {5, 7});
+    state.publish(ConfigurationGeneration {4, 6});
     SharedState behind(clock, {}, {});
-    behind.publish(ConfigurationMark {3, 1});
-    behind.publish(UpstreamMark {1, 1, UpstreamCondition::Leaving});
+    behind.publish(ConfigurationGeneration {3, 1});
+    behind.publish(UpstreamHealth {1, 1, UpstreamCondition::Leaving});
     state.receive(behind.copy(1'000));
     CHECK(state.copy(1'000).front().first() == 5);
     CHECK(state.size() == 2);
@@ -148,7 +148,7 @@
         record = toWire(*itemFromWire(record), record.version(),
                         std::chrono::milliseconds(record.age_ms()) + 2s);
     fresh.receive(aged);
-    CHECK_FALSE(fresh.knows(keyOf(UpstreamMark {1, 1, UpstreamCondition::Leaving})));
+    CHECK_FALSE(fresh.knows(keyOf(UpstreamHealth {1, 1, UpstreamCondition::Leaving})));
     CHECK(fresh.size() == 1);
 }
 
@@ -158,7 +158,7 @@
     SharedStateSettings settings;
     SharedState left(clock, settings, {});
     SharedState right(clock, settings, {});
-    left.publish(PrefixHome {1, 1, 1, 50});
+    left.publish(PrefixLocation {1, 1, 1, 50});
     unsigned sent = 0;
     for (int n = 0; n < 100; ++n) {
         const auto one = left.pack(1'000);
@@ -176,14 +176,14 @@
     SharedStateSettings settings;
     settings.maxItems = 100;
     SharedState state(clock, settings, {});
-    state.publish(ConfigurationMark {3, 7});
+    state.publish(ConfigurationGeneration {3, 7});
     for (std::uint32_t n = 1; n <= 1'000; ++n) {
-        state.publish(PrefixHome {n, 1, 1, n});
+        state.publish(PrefixLocation {n, 1, 1, n});
         CHECK(state.size() <= settings.maxItems);
     }
-    CHECK(state.knows(keyOf(ConfigurationMark {})));
-    CHECK(state.knows(keyOf(PrefixHome {1'000, 1, 1, 1})));
-    CHECK_FALSE(state.knows(keyOf(PrefixHome {1, 1, 1, 1})));
+    CHECK(state.knows(keyOf(ConfigurationGeneration {})));
+    CHECK(state.knows(keyOf(PrefixLocation {1'000, 1, 1, 1})));
+    CHECK_FALSE(state.knows(keyOf(PrefixLocation {1, 1, 1, 1})));
     CHECK(state.size() >= settings.maxItems / 2);
 }
 
@@ -195,10 +195,10 @@
     SharedState right(clock, settings, {});
     std::size_t sent = 0;
     for (std::uint32_t n = 0; n < 200; ++n) {
-        left.publish(PrefixHome {1, 1, 1, 100 + n % 3});
-        left.publish(UpstreamMark {1, 1, UpstreamCondition::Leaving});
-        right.publish(PrefixHome {1, 1, 1, 10 + n % 3});
-        right.publish(UpstreamMark {1, 1, UpstreamCondition::Failing});
+        left.publish(PrefixLocation {1, 1, 1, 100 + n % 3});
+        left.publish(UpstreamHealth {1, 1, UpstreamCondition::Leaving});
+        right.publish(PrefixLocation {1, 1, 1, 10 + n % 3});
+        right.publish(UpstreamHealth {1, 1, UpstreamCondition::Failing});
         const auto one = left.pack(1'000);
         right.receive(one);
         const auto other = right.pack(1'000);
@@ -231,7 +231,7 @@
     constexpr int Seconds = 30;
     for (int n = 0; n < Seconds * 20; ++n) {
         for (int more = 0; more < 50; ++more)
-            state.publish(PrefixHome {rng(), 1, 1, static_cast<std::uint32_t>(rng() % 1'000)});
+            state.publish(PrefixLocation {rng(), 1, 1, static_cast<std::uint32_t>(rng() % 1'000)});
         clock.advance(50ms);
         publisher.tick();
     }
--- a/Tests/LibMembership/TestSnapshot.cpp
+++ b/Tests/LibMembership/TestSnapshot.cpp
@@ -27,7 +27,7 @@
 {
     const Core::ManualClock clock;
     SharedState state(clock, {}, {});
-    state.publish(PrefixHome {generation, 1, 1, 5});
+    state.publish(PrefixLocation {generation, 1, 1, 5});
     const SnapshotBasis other {"trial", generation, 99, {{1, weights}}};
     Peer::Wire::SnapshotRequestT request;
     request.environment = "trial";
@@ -61,7 +61,7 @@
     const Core::ManualClock clock;
     SharedState state(clock, {}, {});
     for (std::uint64_t n = 0; n < 5'000; ++n)
-        state.publish(PrefixHome {n, 1, 1, 5});
+        state.publish(PrefixLocation {n, 1, 1, 5});
     Peer::Wire::SnapshotRequestT request;
     request.environment = "trial";
     request.max_bytes = 60'000;
--- a/Tests/LibPlacement/TestBench.cpp
+++ b/Tests/LibPlacement/TestBench.cpp
@@ -61,7 +61,7 @@
     REQUIRE(first.size() == second.size());
     REQUIRE(first.size() > 300);
     for (std::size_t i = 0; i < first.size(); ++i) {
-        REQUIRE(first[i].pieces == second[i].pieces);
+        REQUIRE(first[i].blocks == second[i].blocks);
         REQUIRE(first[i].arrival == second[i].arrival);
     }
     CHECK(generateWorkload(settings, 5)[0].arrival != first[0].arrival);
--- a/Tests/LibPlacement/TestCandidateSet.cpp
+++ b/Tests/LibPlacement/TestCandidateSet.cpp
@@ -19,11 +19,12 @@
     return CandidateSet::create(table, slots);
 }
 
-std::string homeOf(const CandidateSet &set, const UpstreamTable &table, std::uint64_t key)
+std::string preferredUpstreamOf(const CandidateSet &set, const UpstreamTable &table,
+                                std::uint64_t key)
 {
-    std::array<std::uint16_t, MaxHomes> homes {};
-    set.homes(key, 1, homes);
-    return table.id(set.slots()[homes[0]]).value();
+    std::array<std::uint16_t, MaxPreferredUpstreams> preferredUpstreams {};
+    set.preferredUpstreams(key, 1, preferredUpstreams);
+    return table.id(set.slots()[preferredUpstreams[0]]).value();
 }
 
 } // namespace
@@ -37,7 +38,7 @@
     std::mt19937_64 rng(5);
     for (int i = 0; i < 1000; ++i) {
         const auto key = rng();
-        REQUIRE(homeOf(here, first, key) == homeOf(there, second, key));
+        REQUIRE(preferredUpstreamOf(here, first, key) == preferredUpstreamOf(there, second, key));
     }
 }
 
@@ -50,9 +51,9 @@
     std::mt19937_64 rng(6);
     for (int i = 0; i < 1000; ++i) {
         const auto key = rng();
-        const auto home = homeOf(before, first, key);
-        if (home != "c")
-            REQUIRE(homeOf(after, second, key) == home);
+        const auto preferred = preferredUpstreamOf(before, first, key);
+        if (preferred != "c")
+            REQUIRE(preferredUpstreamOf(after, second, key) == preferred);
     }
 }
 
@@ -64,7 +65,7 @@
     int big = 0;
     constexpr int Draws = 6000;
     for (int i = 0; i < Draws; ++i)
-        big += homeOf(set, table, rng()) == "big" ? 1 : 0;
+        big += preferredUpstreamOf(set, table, rng()) == "big" ? 1 : 0;
     // Weight 3 of 6.
     CHECK(big > Draws * 45 / 100);
     CHECK(big < Draws * 55 / 100);
@@ -80,11 +81,12 @@
     std::mt19937_64 rng(8);
     for (int i = 0; i < 300; ++i) {
         const auto key = rng();
-        std::array<std::uint16_t, MaxHomes> homes {};
-        REQUIRE(set.homes(key, MaxHomes, homes) == MaxHomes);
+        std::array<std::uint16_t, MaxPreferredUpstreams> preferredUpstreams {};
+        REQUIRE(set.preferredUpstreams(key, MaxPreferredUpstreams, preferredUpstreams)
+                == MaxPreferredUpstreams);
         std::vector<std::uint16_t> all(set.size());
         std::iota(all.begin(), all.end(), std::uint16_t {0});
-        set.narrow(key, MaxHomes, all);
-        REQUIRE(std::equal(homes.begin(), homes.end(), all.begin()));
+        set.narrow(key, MaxPreferredUpstreams, all);
+        REQUIRE(std::equal(preferredUpstreams.begin(), preferredUpstreams.end(), all.begin()));
     }
 }
--- a/Tests/LibPlacement/TestPlacement.cpp
+++ b/Tests/LibPlacement/TestPlacement.cpp
@@ -28,8 +28,8 @@
     std::vector<UpstreamSlot> slots;
     std::optional<CandidateSet> set;
     std::mt19937_64 rng {1};
-    const std::array<PieceHash, 4> hashes {11, 22, 33, 44};
-    const PromptPieces pieces = PromptPieces::fromHashes(hashes, 100);
+    const std::array<BlockHash, 4> hashes {11, 22, 33, 44};
+    const PromptBlocks blocks = PromptBlocks::fromHashes(hashes, 100);
 };
 
 } // namespace
@@ -37,26 +37,26 @@
 TEST_CASE("a prompt goes back to where its prefix was prefilled")
 {
     Fixture fixture(12);
-    auto first = fixture.choose({fixture.pieces, {}, {}});
+    auto first = fixture.choose({fixture.blocks, {}, {}});
     REQUIRE(first);
-    fixture.placement.noteSent(*first, fixture.pieces);
+    fixture.placement.noteSent(*first, fixture.blocks);
     fixture.clock.advance(std::chrono::seconds(1));
-    fixture.placement.noteFirstToken(*first, fixture.pieces, 0);
-    const auto again = fixture.choose({fixture.pieces, {}, {}});
+    fixture.placement.noteFirstToken(*first, fixture.blocks, 0);
+    const auto again = fixture.choose({fixture.blocks, {}, {}});
     REQUIRE(again);
     CHECK(again->slot == first->slot);
-    CHECK(again->expectedCachedTokens > 3 * PieceTokens);
+    CHECK(again->expectedCachedTokens > 3 * BlockTokens);
 }
 
 TEST_CASE("a cached prefix is left for an idle upstream when its holder is swamped")
 {
     Fixture fixture(3);
-    auto first = fixture.choose({fixture.pieces, {}, {}});
-    fixture.placement.noteSent(*first, fixture.pieces);
-    fixture.placement.noteFirstToken(*first, fixture.pieces, 0);
+    auto first = fixture.choose({fixture.blocks, {}, {}});
+    fixture.placement.noteSent(*first, fixture.blocks);
+    fixture.placement.noteFirstToken(*first, fixture.blocks, 0);
     fixture.clock.advance(std::chrono::milliseconds(10));
     fixture.placement.noteLoadReport(first->slot, {1, fixture.clock.now(), 30, 20, 400000});
-    CHECK(fixture.choose({fixture.pieces, {}, {}})->slot != first->slot);
+    CHECK(fixture.choose({fixture.blocks, {}, {}})->slot != first->slot);
 }
 
 TEST_CASE("excluded and gone upstreams are not chosen")
@@ -65,9 +65,9 @@
     const std::array tried {fixture.slots[0]};
     fixture.placement.noteGone(fixture.slots[1]);
     for (int i = 0; i < 20; ++i)
-        REQUIRE(fixture.choose({fixture.pieces, {}, tried})->slot == fixture.slots[2]);
+        REQUIRE(fixture.choose({fixture.blocks, {}, tried})->slot == fixture.slots[2]);
     fixture.placement.noteGone(fixture.slots[2]);
-    CHECK_FALSE(fixture.choose({fixture.pieces, {}, tried}));
+    CHECK_FALSE(fixture.choose({fixture.blocks, {}, tried}));
 }
 
 TEST_CASE("the caller's preference decides among like candidates")
@@ -75,13 +75,13 @@
     Fixture fixture(3);
     const std::array<Seconds, 3> preference {Seconds(5), Seconds(0), Seconds(5)};
     for (int i = 0; i < 20; ++i)
-        REQUIRE(fixture.choose({fixture.pieces, preference, {}})->slot == fixture.slots[1]);
+        REQUIRE(fixture.choose({fixture.blocks, preference, {}})->slot == fixture.slots[1]);
 }
 
 TEST_CASE("instances with the same stale report do not all pick the same upstream")
 {
     Fixture fixture(8);
-    const auto unseen = PromptPieces::fromHashes({}, 300);
+    const auto unseen = PromptBlocks::fromHashes({}, 300);
     std::map<UpstreamSlot, int> picks;
     for (int i = 0; i < 800; ++i)
         ++picks[fixture.choose({unseen, {}, {}})->slot];
@@ -93,10 +93,10 @@
 TEST_CASE("an upstream that stops answering is avoided before any report says so")
 {
     Fixture fixture(4);
-    auto first = fixture.choose({fixture.pieces, {}, {}});
-    fixture.placement.noteSent(*first, fixture.pieces);
+    auto first = fixture.choose({fixture.blocks, {}, {}});
+    fixture.placement.noteSent(*first, fixture.blocks);
     fixture.clock.advance(std::chrono::seconds(20));
-    CHECK(fixture.choose({fixture.pieces, {}, {}})->slot != first->slot);
+    CHECK(fixture.choose({fixture.blocks, {}, {}})->slot != first->slot);
 }
 
 TEST_CASE("an explanation names every candidate and its terms add up")
@@ -104,7 +104,7 @@
     Fixture fixture(5);
     Explanation explanation;
     const auto decision =
-        fixture.placement.choose({fixture.pieces, {}, {}}, *fixture.set, fixture.rng, &explanation);
+        fixture.placement.choose({fixture.blocks, {}, {}}, *fixture.set, fixture.rng, &explanation);
     REQUIRE(explanation.rows.size() == 5);
     CHECK(explanation.rows[0].terms.slot == decision->slot);
     for (const auto &row : explanation.rows) {
@@ -119,16 +119,16 @@
 TEST_CASE("a sibling that takes the hot beliefs over chooses alike")
 {
     Fixture warm(12);
-    auto first = warm.choose({warm.pieces, {}, {}});
-    warm.placement.noteSent(*first, warm.pieces);
-    warm.placement.noteFirstToken(*first, warm.pieces, 0);
-    const auto hot = warm.placement.exportHot(3);
+    auto first = warm.choose({warm.blocks, {}, {}});
+    warm.placement.noteSent(*first, warm.blocks);
+    warm.placement.noteFirstToken(*first, warm.blocks, 0);
+    const auto hot = warm.placement.exportFrequentPrefixes(3);
     REQUIRE(hot.size() == 3);
     Fixture fresh(12);
-    fresh.placement.importHot(warm.placement.exportHot(100));
-    const auto decision = fresh.choose({fresh.pieces, {}, {}});
+    fresh.placement.importFrequentPrefixes(warm.placement.exportFrequentPrefixes(100));
+    const auto decision = fresh.choose({fresh.blocks, {}, {}});
     CHECK(decision->slot == first->slot);
-    CHECK(decision->expectedCachedTokens > 3 * PieceTokens);
+    CHECK(decision->expectedCachedTokens > 3 * BlockTokens);
 }
 
 TEST_CASE("decisions and notes run side by side on several threads")
@@ -137,11 +137,11 @@
     const auto work = [&](std::uint64_t seed) {
         std::mt19937_64 rng(seed);
         for (int i = 0; i < 2000; ++i) {
-            const std::array<PieceHash, 2> hashes {1 + rng() % 50, 1000 + rng() % 500};
-            const auto pieces = PromptPieces::fromHashes(hashes, 10);
-            auto decision = fixture.placement.choose({pieces, {}, {}}, *fixture.set, rng);
-            fixture.placement.noteSent(*decision, pieces);
-            fixture.placement.noteFirstToken(*decision, pieces, PieceTokens);
+            const std::array<BlockHash, 2> hashes {1 + rng() % 50, 1000 + rng() % 500};
+            const auto blocks = PromptBlocks::fromHashes(hashes, 10);
+            auto decision = fixture.placement.choose({blocks, {}, {}}, *fixture.set, rng);
+            fixture.placement.noteSent(*decision, blocks);
+            fixture.placement.noteFirstToken(*decision, blocks, BlockTokens);
             fixture.placement.noteAnswer(*decision);
             if (i % 100 == 0)
                 fixture.placement.noteIncarnation(decision->slot, 2 + rng() % 20);
@@ -152,5 +152,5 @@
         threads.emplace_back(work, seed);
     for (auto &thread : threads)
         thread.join();
-    CHECK(fixture.choose({fixture.pieces, {}, {}}));
+    CHECK(fixture.choose({fixture.blocks, {}, {}}));
 }
--- a/Tests/LibPlacement/TestBeliefIsolation.cpp
+++ b/Tests/LibPlacement/TestPrefixCacheIsolation.cpp
@@ -16,7 +16,7 @@
 {
     UpstreamSlot slot;
     std::uint64_t incarnation;
-    PieceHash piece;
+    BlockHash block;
     bool isStored;
 };
 
@@ -29,7 +29,7 @@
     {
         PlacementSettings settings;
         // Without homes, whatever is expected cached comes from beliefs alone.
-        settings.usesHomes = false;
+        settings.usesPreferredUpstreams = false;
         m_placement = std::make_unique<::Placement::Placement>(m_clock, settings);
         for (std::size_t i = 0; i < Engines; ++i)
             m_slots.push_back(m_placement->noteUpstream({Core::UpstreamId(std::to_string(i)), 1}));
@@ -74,7 +74,7 @@
             const auto event = *at;
             m_events.erase(at);
             if (m_rng() % 3 != 0)
-                m_placement->noteCacheEvent(event.slot, event.incarnation, event.piece,
+                m_placement->noteCacheEvent(event.slot, event.incarnation, event.block,
                                             event.isStored,
                                             std::chrono::milliseconds(m_rng() % 2000));
         }
@@ -84,27 +84,27 @@
     {
         const CacheScope scope {Core::TeamId(std::to_string(m_rng() % 3)), Core::ModelId("m"),
                                 std::to_string(m_rng() % 2)};
-        const std::string text(PieceTokens * BytesPerToken, static_cast<char>('a' + m_rng() % 3));
-        const auto pieces = PromptPieces::create(scope, text + text);
+        const std::string text(BlockTokens * BytesPerToken, static_cast<char>('a' + m_rng() % 3));
+        const auto blocks = PromptBlocks::create(scope, text + text);
         const auto set = m_placement->makeCandidateSet(m_slots);
-        auto decision = m_placement->choose({pieces, {}, {}}, set, m_rng);
+        auto decision = m_placement->choose({blocks, {}, {}}, set, m_rng);
         REQUIRE(decision);
         const auto engine = decision->slot;
         REQUIRE(decision->incarnation == m_incarnations[engine]);
         // What was stored is kept by scope and text, so that a hash shared by two scopes shows.
         const auto name = scope.team.value() + "/" + scope.weightsVersion + "/" + text[0];
-        const auto possible = m_ever[engine].contains(name) ? 2 * PieceTokens : 0;
+        const auto possible = m_ever[engine].contains(name) ? 2 * BlockTokens : 0;
         // What this incarnation ever stored bounds what may be counted on.
         REQUIRE(decision->expectedCachedTokens <= possible);
 
-        m_placement->noteSent(*decision, pieces);
+        m_placement->noteSent(*decision, blocks);
         m_ever[engine].insert(name);
-        for (const auto piece : pieces.hashes())
-            m_events.push_back({engine, m_incarnations[engine], piece, m_rng() % 4 != 0});
+        for (const auto block : blocks.hashes())
+            m_events.push_back({engine, m_incarnations[engine], block, m_rng() % 4 != 0});
         if (m_rng() % 3 == 0)
-            m_late.emplace_back(*decision, pieces);
+            m_late.emplace_back(*decision, blocks);
         else
-            m_placement->noteFirstToken(*decision, pieces, 0);
+            m_placement->noteFirstToken(*decision, blocks, 0);
         // Answers of dead incarnations come too.
         if (!m_late.empty() && m_rng() % 2 == 0) {
             const auto [old, oldPieces] = m_late.back();
@@ -120,7 +120,7 @@
     std::vector<std::uint64_t> m_incarnations;
     std::vector<std::set<std::string>> m_ever;
     std::vector<LateEvent> m_events;
-    std::vector<std::pair<Decision, PromptPieces>> m_late;
+    std::vector<std::pair<Decision, PromptBlocks>> m_late;
 };
 
 } // namespace
--- a/Tests/LibSiblings/TestSharedStateBridge.cpp
+++ b/Tests/LibSiblings/TestSharedStateBridge.cpp
@@ -30,12 +30,12 @@
 
     void receiveHome(std::uint32_t incarnation)
     {
-        Membership::PrefixHome home;
-        home.prefix = Prefix;
-        home.upstream = Core::hash64("engine-1");
-        home.incarnation = incarnation;
-        home.heat = 10;
-        bridge.state().receive({Membership::toWire(home, 1, 100ms)});
+        Membership::PrefixLocation location;
+        location.prefix = Prefix;
+        location.upstream = Core::hash64("engine-1");
+        location.incarnation = incarnation;
+        location.requestsPerMinute = 10;
+        bridge.state().receive({Membership::toWire(location, 1, 100ms)});
     }
 
     void hearFromUpstream(std::uint64_t incarnation)
@@ -48,8 +48,8 @@
     bool believes() const
     {
         auto &placement = const_cast<Router::Instance &>(instance).placement();
-        for (const auto &belief : placement.exportHot(10)) {
-            if (belief.piece == Prefix && !belief.holders.empty())
+        for (const auto &prefix : placement.exportFrequentPrefixes(10)) {
+            if (prefix.block == Prefix && !prefix.holders.empty())
                 return true;
         }
         return false;
--- a/Tests/StandIns/EngineStandIn.cpp
+++ b/Tests/StandIns/EngineStandIn.cpp
@@ -43,7 +43,7 @@
 
 EngineStandIn::EngineStandIn(EngineSettings settings)
     : m_settings(std::move(settings))
-    , m_cache(m_settings.cachePieces)
+    , m_cache(m_settings.cacheBlocks)
     , m_incarnation(
           static_cast<std::uint64_t>(std::chrono::system_clock::now().time_since_epoch().count()))
 { }
--- a/Tests/StandIns/EngineStandIn.h
+++ b/Tests/StandIns/EngineStandIn.h
@@ -17,7 +17,7 @@
 struct EngineSettings
 {
     std::size_t slots = 8;
-    std::size_t cachePieces = 1000;
+    std::size_t cacheBlocks = 1000;
     std::size_t pieceBytes = 8000;
     std::chrono::microseconds prefillPerKilobyte {50};
     std::chrono::microseconds decodePerToken {1000};
--- a/Utilities/jujubebench/AdmissionRun.cpp
+++ b/Utilities/jujubebench/AdmissionRun.cpp
@@ -236,7 +236,7 @@
     ++m_runningByTeam[it.team];
     m_instances[it.instance].meter->noteStarted(groupName(), teamName(it.team));
     m_engines[engine]->submit({.id = id,
-                               .pieces = {},
+                               .blocks = {},
                                .tailTokens = it.promptTokens,
                                .outputTokens = it.outputTokens,
                                .priority = grant.enginePriority});
--- a/Utilities/jujubebench/BaselinePolicies.cpp
+++ b/Utilities/jujubebench/BaselinePolicies.cpp
@@ -104,7 +104,7 @@
     std::size_t choose(std::size_t, const WorkItem &item,
                        std::span<const std::size_t> candidates) override
     {
-        return rendezvous(m_isRoot ? item.pieces.front() : item.pieces.back(), candidates);
+        return rendezvous(m_isRoot ? item.blocks.front() : item.blocks.back(), candidates);
     }
 
 private:
@@ -130,7 +130,7 @@
         for (const auto candidate : candidates) {
             const auto cost = expectedCost(item, *m_engines[candidate]);
             const auto tie =
-                m_prefersHome ? rendezvousHash(item.pieces.back(), candidate) : m_rng();
+                m_prefersHome ? rendezvousHash(item.blocks.back(), candidate) : m_rng();
             if (cost > bestCost || (cost == bestCost && tie < bestTie))
                 continue;
             best = candidate;
@@ -148,8 +148,8 @@
             return DownCost;
         const auto &settings = engine.settings();
         const auto load = engine.load();
-        const auto cached = engine.cache().match(item.pieces);
-        const auto missed = static_cast<double>((item.pieces.size() - cached) * PieceTokens);
+        const auto cached = engine.cache().match(item.blocks);
+        const auto missed = static_cast<double>((item.blocks.size() - cached) * BlockTokens);
         const double weight = m_prefersHome ? 2 : 1;
         double cost = (static_cast<double>(load.pendingPrefillTokens) + missed * weight)
                       / settings.prefillTokensPerSecond;
--- a/Utilities/jujubebench/Deployment.cpp
+++ b/Utilities/jujubebench/Deployment.cpp
@@ -9,14 +9,14 @@
 using std::chrono::seconds;
 
 std::vector<EngineSettings> makeEngines(const std::string &prefix, std::size_t count,
-                                        std::size_t dataCentres, std::size_t cachePieces)
+                                        std::size_t dataCentres, std::size_t cacheBlocks)
 {
     std::vector<EngineSettings> engines;
     for (std::size_t i = 0; i < count; ++i) {
         EngineSettings engine;
         engine.name = prefix + "-" + std::to_string(i);
         engine.dataCentre = i % dataCentres;
-        engine.cachePieces = cachePieces;
+        engine.cacheBlocks = cacheBlocks;
         engines.push_back(engine);
     }
     return engines;
--- a/Utilities/jujubebench/FakeEngine.cpp
+++ b/Utilities/jujubebench/FakeEngine.cpp
@@ -18,7 +18,7 @@
     : m_queue(queue)
     , m_settings(std::move(settings))
     , m_hooks(std::move(hooks))
-    , m_cache(m_settings.cachePieces)
+    , m_cache(m_settings.cacheBlocks)
 { }
 
 bool FakeEngine::submit(EngineRequest request)
@@ -120,7 +120,7 @@
         return;
     m_prefilling = 0;
     it->second.isDecoding = true;
-    m_cache.store(it->second.request.pieces);
+    m_cache.store(it->second.request.blocks);
     const auto fill = static_cast<double>(m_running.size()) / static_cast<double>(m_settings.slots);
     const std::chrono::duration<double> interval = m_settings.tokenInterval;
     const auto time = static_cast<double>(it->second.request.outputTokens) * interval.count()
@@ -150,7 +150,7 @@
 
 std::uint64_t FakeEngine::missedTokens(const EngineRequest &request) const
 {
-    return request.promptTokens() - m_cache.match(request.pieces) * PieceTokens;
+    return request.promptTokens() - m_cache.match(request.blocks) * BlockTokens;
 }
 
 } // namespace Bench
--- a/Utilities/jujubebench/FakeEngine.h
+++ b/Utilities/jujubebench/FakeEngine.h
@@ -12,14 +12,14 @@
 namespace Bench {
 
 /// Tokens in one cache piece.
-constexpr std::uint64_t PieceTokens = 2000;
+constexpr std::uint64_t BlockTokens = 2000;
 
 /// The speed and size of one fake engine.
 struct EngineSettings
 {
     std::string name;
     std::size_t dataCentre = 0;
-    std::size_t cachePieces = 120;
+    std::size_t cacheBlocks = 120;
     std::size_t slots = 32;
     double prefillTokensPerSecond = 20000;
     /// Time between two tokens of one request in an otherwise empty batch.
@@ -32,15 +32,15 @@
 struct EngineRequest
 {
     std::uint64_t id = 0;
-    /// Chained piece hashes, PieceTokens each.
-    std::vector<std::uint64_t> pieces;
+    /// Chained piece hashes, BlockTokens each.
+    std::vector<std::uint64_t> blocks;
     /// Prompt tokens after the last whole piece, never cached.
     std::uint64_t tailTokens = 0;
     std::uint64_t outputTokens = 0;
     /// Lower runs first.
     int priority = 0;
 
-    std::uint64_t promptTokens() const { return pieces.size() * PieceTokens + tailTokens; }
+    std::uint64_t promptTokens() const { return blocks.size() * BlockTokens + tailTokens; }
 };
 
 /// What an engine says about its load.
--- a/Utilities/jujubebench/OurPolicy.cpp
+++ b/Utilities/jujubebench/OurPolicy.cpp
@@ -12,14 +12,14 @@
 namespace {
 
 using Placement::PlacementSettings;
-using Placement::PromptPieces;
+using Placement::PromptBlocks;
 using Placement::UpstreamSlot;
 
 /// Settings of the library and of what its caller does.
 struct OurSettings : PlacementSettings
 {
     // Several times the pieces that all engines hold, and quick to search at each exchange.
-    OurSettings() { beliefCapacity = 8192; }
+    OurSettings() { prefixIndexCapacity = 8192; }
     bool exchanges = true;
 };
 
@@ -34,8 +34,8 @@
 {
     static const std::vector<Variant> all {
         {"placement", [](auto &) {}},
-        {"no-beliefs", [](auto &settings) { settings.usesBeliefs = false; }},
-        {"no-homes", [](auto &settings) { settings.usesHomes = false; }},
+        {"no-beliefs", [](auto &settings) { settings.usesPrefixIndex = false; }},
+        {"no-homes", [](auto &settings) { settings.usesPreferredUpstreams = false; }},
         {"no-width", [](auto &settings) { settings.usesWidth = false; }},
         {"no-own-sends", [](auto &settings) { settings.usesOwnSends = false; }},
         {"no-slowness", [](auto &settings) { settings.usesSlowness = false; }},
@@ -55,9 +55,9 @@
 
 constexpr std::array NamedSettings {
     NamedSetting {"missWeight", &PlacementSettings::missWeight},
-    NamedSetting {"homePrior", &PlacementSettings::homePrior},
+    NamedSetting {"homePrior", &PlacementSettings::preferredUpstreamPrior},
     NamedSetting {"siblingShare", &PlacementSettings::siblingShare},
-    NamedSetting {"homeUtilisation", &PlacementSettings::homeUtilisation},
+    NamedSetting {"homeUtilisation", &PlacementSettings::preferredUpstreamUtilisation},
     NamedSetting {"nearEqualShare", &PlacementSettings::nearEqualShare},
 };
 
@@ -81,8 +81,8 @@
 };
 
 /// Beliefs handed to a sibling that starts, and to one that is up at each exchange.
-constexpr std::size_t HandedBeliefs = 2000;
-constexpr std::size_t ExchangedBeliefs = 64;
+constexpr std::size_t HandedPrefixes = 2000;
+constexpr std::size_t ExchangedPrefixes = 64;
 
 /// LibPlacement as the daemon would call it, one object an instance.
 class OurPolicy final : public Policy
@@ -104,8 +104,8 @@
         auto &instance = m_instances[index];
         const std::vector<UpstreamSlot> slots(candidates.begin(), candidates.end());
         const auto set = instance.placement->makeCandidateSet(slots);
-        const auto pieces = PromptPieces::fromHashes(item.pieces, item.tailTokens);
-        const auto decision = instance.placement->choose({pieces, {}, {}}, set, m_rng);
+        const auto blocks = PromptBlocks::fromHashes(item.blocks, item.tailTokens);
+        const auto decision = instance.placement->choose({blocks, {}, {}}, set, m_rng);
         if (!decision)
             return candidates[m_rng() % candidates.size()];
         instance.decisions[item.id] = *decision;
@@ -116,7 +116,7 @@
         auto &instance = m_instances[index];
         const auto it = instance.decisions.find(item.id);
         if (it != instance.decisions.end())
-            instance.placement->noteSent(it->second, piecesOf(item));
+            instance.placement->noteSent(it->second, blocksOf(item));
     }
     void firstToken(std::size_t index, const WorkItem &item, std::size_t,
                     std::uint64_t cachedTokens) override
@@ -124,7 +124,7 @@
         auto &instance = m_instances[index];
         const auto it = instance.decisions.find(item.id);
         if (it != instance.decisions.end())
-            instance.placement->noteFirstToken(it->second, piecesOf(item), cachedTokens);
+            instance.placement->noteFirstToken(it->second, blocksOf(item), cachedTokens);
     }
     void finished(std::size_t index, const WorkItem &item, std::size_t) override
     {
@@ -154,34 +154,36 @@
              static_cast<std::uint32_t>(load.queued), load.pendingPrefillTokens});
     }
     void cacheEvent(std::size_t index, std::size_t engine, std::uint64_t incarnation,
-                    CacheChange change, std::uint64_t piece, std::chrono::milliseconds age) override
+                    CacheChange change, std::uint64_t block, std::chrono::milliseconds age) override
     {
         m_instances[index].placement->noteCacheEvent(static_cast<UpstreamSlot>(engine), incarnation,
-                                                     piece, change == CacheChange::Stored, age);
+                                                     block, change == CacheChange::Stored, age);
     }
     void exchange(std::size_t index, std::span<const std::size_t> siblings,
                   std::chrono::milliseconds within) override
     {
         if (!m_settings.exchanges)
             return;
-        const auto hot = m_instances[index].placement->exportHot(ExchangedBeliefs, within);
+        const auto hot =
+            m_instances[index].placement->exportFrequentPrefixes(ExchangedPrefixes, within);
         for (const auto sibling : siblings)
-            m_instances[sibling].placement->importHot(hot);
+            m_instances[sibling].placement->importFrequentPrefixes(hot);
     }
     void restarted(std::size_t index, std::optional<std::size_t> sibling) override
     {
         auto &instance = m_instances[index];
         start(instance);
         if (sibling) {
-            const auto hot = m_instances[*sibling].placement->exportHot(HandedBeliefs);
-            instance.placement->importHot(hot);
+            const auto hot =
+                m_instances[*sibling].placement->exportFrequentPrefixes(HandedPrefixes);
+            instance.placement->importFrequentPrefixes(hot);
         }
     }
 
 private:
-    static PromptPieces piecesOf(const WorkItem &item)
+    static PromptBlocks blocksOf(const WorkItem &item)
     {
-        return PromptPieces::fromHashes(item.pieces, item.tailTokens);
+        return PromptBlocks::fromHashes(item.blocks, item.tailTokens);
     }
 
     Placement::UpstreamView viewOf(std::size_t engine, std::uint64_t incarnation) const
--- a/Utilities/jujubebench/PlacementRun.cpp
+++ b/Utilities/jujubebench/PlacementRun.cpp
@@ -61,7 +61,7 @@
         m_engines.push_back(
             std::make_unique<FakeEngine>(m_queue, m_deployment.engines[i], std::move(hooks)));
         m_engines.back()->cache().setChangeHook(
-            [this, i](auto change, auto piece) { reportCacheChange(i, change, piece); });
+            [this, i](auto change, auto block) { reportCacheChange(i, change, block); });
     }
 }
 
@@ -111,7 +111,7 @@
             return;
         }
         const auto engine = m_policy->choose(instance, item, open);
-        EngineRequest request {item.id, item.pieces, item.tailTokens, item.outputTokens,
+        EngineRequest request {item.id, item.blocks, item.tailTokens, item.outputTokens,
                                item.isUrgent ? 0 : 1};
         // The attempt stands before the engine may call back.
         m_attempts[item.id] = {instance, engine};
@@ -172,17 +172,17 @@
     m_queue.schedule(interval, [this, instance] { exchange(instance); });
 }
 
-void PlacementRun::reportCacheChange(std::size_t engine, CacheChange change, std::uint64_t piece)
+void PlacementRun::reportCacheChange(std::size_t engine, CacheChange change, std::uint64_t block)
 {
     constexpr std::uint64_t Scale = 1'000'000;
     const auto lossLimit = m_deployment.views.cacheEventLoss * static_cast<double>(Scale);
     if (static_cast<double>(m_rng() % Scale) < lossLimit)
         return;
     m_queue.schedule(m_deployment.views.cacheEventLag,
-                     [this, engine, change, piece, incarnation = m_engines[engine]->incarnation()] {
+                     [this, engine, change, block, incarnation = m_engines[engine]->incarnation()] {
                          for (std::size_t i = 0; i < m_deployment.instances; ++i) {
                              if (isReachable(i, engine))
-                                 m_policy->cacheEvent(i, engine, incarnation, change, piece,
+                                 m_policy->cacheEvent(i, engine, incarnation, change, block,
                                                       m_deployment.views.cacheEventLag);
                          }
                      });
@@ -191,7 +191,7 @@
 void PlacementRun::onFirstToken(std::size_t engine, std::uint64_t id, std::uint64_t cachedTokens)
 {
     auto &outcome = m_statistics.outcomes[id - 1];
-    outcome.promptTokens += item(id).pieces.size() * PieceTokens + item(id).tailTokens;
+    outcome.promptTokens += item(id).blocks.size() * BlockTokens + item(id).tailTokens;
     outcome.cachedTokens += cachedTokens;
     if (!outcome.isAnswered) {
         outcome.isAnswered = true;
--- a/Utilities/jujubebench/PlacementRun.h
+++ b/Utilities/jujubebench/PlacementRun.h
@@ -66,7 +66,7 @@
     /// Lets the instance tell its siblings, and again after the interval.
     void exchange(std::size_t instance);
     /// Passes on a cache change late, or loses it.
-    void reportCacheChange(std::size_t engine, CacheChange change, std::uint64_t piece);
+    void reportCacheChange(std::size_t engine, CacheChange change, std::uint64_t block);
     void onFirstToken(std::size_t engine, std::uint64_t id, std::uint64_t cachedTokens);
     void onFinished(std::uint64_t id);
     void onFailed(std::uint64_t id);
--- a/Utilities/jujubebench/PlacementScenario.cpp
+++ b/Utilities/jujubebench/PlacementScenario.cpp
@@ -37,7 +37,7 @@
     ViewSettings views;
     double loadFactor = 1;
     /// Cache size of every engine in pieces; zero keeps the deployment's.
-    std::size_t cachePieces = 0;
+    std::size_t cacheBlocks = 0;
     bool hasShift = false;
     bool isAblated = false;
     bool judgesSteady = false;
@@ -95,7 +95,7 @@
     scenario.warmUp = secondsOr(file, "warmUpSeconds", scenario.warmUp);
     scenario.eventAt = secondsOr(file, "eventAtSeconds", scenario.eventAt);
     scenario.loadFactor = toml::find_or(file, "loadFactor", scenario.loadFactor);
-    scenario.cachePieces =
+    scenario.cacheBlocks =
         static_cast<std::size_t>(toml::find_or(file, "cachePieces", std::int64_t {0}));
     scenario.hasShift = toml::find_or(file, "hotPrefixShift", false);
     scenario.isAblated = toml::find_or(file, "ablation", false);
@@ -127,8 +127,8 @@
     deployment.work.duration = options.isQuick ? scenario.quickDuration : scenario.duration;
     deployment.work.requestsPerSecond *= scenario.loadFactor;
     for (auto &engine : deployment.engines) {
-        if (scenario.cachePieces != 0)
-            engine.cachePieces = scenario.cachePieces;
+        if (scenario.cacheBlocks != 0)
+            engine.cacheBlocks = scenario.cacheBlocks;
     }
     if (scenario.hasShift)
         deployment.work.shiftAt = scenario.eventAt;
--- a/Utilities/jujubebench/PrefixCache.h
+++ b/Utilities/jujubebench/PrefixCache.h
@@ -20,7 +20,7 @@
 class PrefixCache
 {
 public:
-    using ChangeHook = std::function<void(CacheChange, std::uint64_t piece)>;
+    using ChangeHook = std::function<void(CacheChange, std::uint64_t block)>;
 
     /// Room for the given number of pieces.
     explicit PrefixCache(std::size_t capacity);
--- a/Utilities/jujubebench/Workload.cpp
+++ b/Utilities/jujubebench/Workload.cpp
@@ -48,14 +48,14 @@
     return -mean * std::log1p(-uniform(rng));
 }
 
-std::uint64_t chain(std::uint64_t parent, std::uint64_t text, std::uint64_t piece)
+std::uint64_t chain(std::uint64_t parent, std::uint64_t text, std::uint64_t block)
 {
-    const std::array<std::uint64_t, 3> words {parent, text, piece};
+    const std::array<std::uint64_t, 3> words {parent, text, block};
     return Core::hash64({reinterpret_cast<const char *>(words.data()), sizeof words});
 }
 
 /// Appends the pieces of one text of each level.
-void appendPieces(const WorkloadSettings &settings, const std::vector<ZipfDraw> &draws,
+void appendBlocks(const WorkloadSettings &settings, const std::vector<ZipfDraw> &draws,
                   std::mt19937_64 &rng, WorkItem &item)
 {
     const bool isShifted = settings.shiftAt.count() > 0 && item.arrival >= settings.shiftAt;
@@ -68,9 +68,9 @@
             text += level.count;
         if (level.lifetime.count() > 0)
             text += static_cast<std::uint64_t>(item.arrival / level.lifetime) << 32;
-        for (std::size_t piece = 0; piece < level.pieces; ++piece) {
-            parent = chain(parent, text, piece + 1);
-            item.pieces.push_back(parent);
+        for (std::size_t block = 0; block < level.blocks; ++block) {
+            parent = chain(parent, text, block + 1);
+            item.blocks.push_back(parent);
         }
     }
 }
@@ -100,7 +100,7 @@
         while (item.team + 1 < settings.teams.size() && draw >= settings.teams[item.team].share)
             draw -= settings.teams[item.team++].share;
         item.isUrgent = uniform(rng) < settings.urgentShare;
-        appendPieces(settings, draws, rng, item);
+        appendBlocks(settings, draws, rng, item);
         const auto tail = static_cast<double>(settings.meanTailTokens);
         const auto output = static_cast<double>(settings.meanOutputTokens);
         item.tailTokens = 1 + static_cast<std::uint64_t>(exponential(rng, tail));
--- a/Utilities/jujubebench/Workload.h
+++ b/Utilities/jujubebench/Workload.h
@@ -14,7 +14,7 @@
     /// Different texts under one parent.
     std::size_t count = 1;
     /// Cache pieces of each text.
-    std::size_t pieces = 1;
+    std::size_t blocks = 1;
     /// Zipf exponent of the texts' popularity; zero is even.
     double skew = 0;
     /// After this time a text is replaced by a new one; zero keeps it for the whole run.
@@ -51,8 +51,8 @@
     EventQueue::Duration arrival {0};
     std::size_t team = 0;
     bool isUrgent = true;
-    /// Chained piece hashes, PieceTokens each.
-    std::vector<std::uint64_t> pieces;
+    /// Chained piece hashes, BlockTokens each.
+    std::vector<std::uint64_t> blocks;
     std::uint64_t tailTokens = 0;
     std::uint64_t outputTokens = 0;
     /// Picks the entry instance, modulo the number that are up.
--- a/Utilities/jujubecapacity/CacheIndexRole.cpp
+++ b/Utilities/jujubecapacity/CacheIndexRole.cpp
@@ -3,7 +3,7 @@
 
 #include <LibCore/ManualClock.h>
 #include <LibPlacement/Placement.h>
-#include <LibPlacement/PromptPieces.h>
+#include <LibPlacement/PromptBlocks.h>
 
 #include <array>
 #include <memory>
@@ -17,11 +17,11 @@
 constexpr std::size_t PrefixFamilies = 20'000;
 
 /// Four nested pieces, the outer ones shared by more prompts.
-Placement::PromptPieces nestedPrompt(std::uint64_t number)
+Placement::PromptBlocks nestedPrompt(std::uint64_t number)
 {
-    const std::array<Placement::PieceHash, 4> hashes {number % 50 + 1, number % 500 + 1'000,
+    const std::array<Placement::BlockHash, 4> hashes {number % 50 + 1, number % 500 + 1'000,
                                                       number % 5'000 + 10'000, number + 100'000};
-    return Placement::PromptPieces::fromHashes(hashes, 300);
+    return Placement::PromptBlocks::fromHashes(hashes, 300);
 }
 
 std::vector<std::string> measurePlacement(std::size_t upstreams, std::size_t beliefs)
@@ -29,7 +29,7 @@
     Core::ManualClock clock;
     std::mt19937_64 rng(Seed);
     Placement::PlacementSettings settings;
-    settings.beliefCapacity = beliefs;
+    settings.prefixIndexCapacity = beliefs;
     const auto heapBefore = heapBytes();
     const auto placement = std::make_unique<Placement::Placement>(clock, settings);
     std::vector<Placement::UpstreamSlot> slots;
@@ -39,10 +39,10 @@
     const auto candidates = placement->makeCandidateSet(slots);
     const auto before = processorTime();
     for (std::size_t n = 0; n < Decisions; ++n) {
-        const auto pieces = nestedPrompt(rng() % PrefixFamilies);
-        auto decision = placement->choose({pieces, {}, {}}, candidates, rng);
-        placement->noteSent(*decision, pieces);
-        placement->noteFirstToken(*decision, pieces, decision->expectedCachedTokens);
+        const auto blocks = nestedPrompt(rng() % PrefixFamilies);
+        auto decision = placement->choose({blocks, {}, {}}, candidates, rng);
+        placement->noteSent(*decision, blocks);
+        placement->noteFirstToken(*decision, blocks, decision->expectedCachedTokens);
         placement->noteAnswer(*decision);
         clock.advance(1ms);
     }
--- a/Utilities/jujubecapacity/SharingRole.cpp
+++ b/Utilities/jujubecapacity/SharingRole.cpp
@@ -86,7 +86,7 @@
     Outcome run()
     {
         const auto processorBefore = processorTime();
-        m_siblings.front().state->publish(ConfigurationMark {2, 7});
+        m_siblings.front().state->publish(ConfigurationGeneration {2, 7});
         for (std::size_t step = 0; step < LateSeconds[1] * StepsPerSecond; ++step)
             advance(step / StepsPerSecond);
         const auto seconds = static_cast<double>(LateSeconds[1]);
@@ -124,7 +124,7 @@
         sibling.state = std::make_unique<SharedState>(
             m_clock, SharedStateSettings {},
             [this, &sibling](const SharedItem &item, std::chrono::milliseconds) {
-                if (std::holds_alternative<ConfigurationMark>(item))
+                if (std::holds_alternative<ConfigurationGeneration>(item))
                     sibling.generationSeenAt = m_seconds;
             });
         SharedStatePublisher::Hooks hooks;
@@ -166,14 +166,14 @@
     void request(Sibling &sibling, std::size_t second)
     {
         const auto prefix = m_draw(m_rng);
-        const PrefixHome home {prefix, Core::hash64("home", prefix) % Upstreams, 1,
-                               ++sibling.seen[prefix]};
-        const bool known = sibling.state->knows(keyOf(home));
+        const PrefixLocation location {prefix, Core::hash64("home", prefix) % Upstreams, 1,
+                                       ++sibling.seen[prefix]};
+        const bool known = sibling.state->knows(keyOf(location));
         if (second >= EarlySeconds[0] && second < EarlySeconds[1])
             m_early = {m_early.known + (known ? 1 : 0), m_early.all + 1};
         if (second >= LateSeconds[0])
             m_late = {m_late.known + (known ? 1 : 0), m_late.all + 1};
-        sibling.state->publish(home);
+        sibling.state->publish(location);
     }
 
     double m_heapBefore;
--- a/Utilities/jujubedecision/main.cpp
+++ b/Utilities/jujubedecision/main.cpp
@@ -16,7 +16,7 @@
 
 /// Texts of each of the four nesting levels, and pieces of each text.
 constexpr std::size_t LevelTexts = 8;
-constexpr std::size_t LevelPieces = 2;
+constexpr std::size_t LevelBlocks = 2;
 constexpr std::size_t Levels = 4;
 /// Workers of the two fleets whose decisions are compared.
 constexpr std::size_t SmallFleet = 150;
@@ -56,23 +56,23 @@
     }
 
 private:
-    PromptPieces makePrompt()
+    PromptBlocks makePrompt()
     {
-        std::array<PieceHash, Levels * LevelPieces> hashes {};
-        PieceHash parent = 1;
+        std::array<BlockHash, Levels * LevelBlocks> hashes {};
+        BlockHash parent = 1;
         for (std::size_t i = 0; i < hashes.size(); ++i) {
-            const auto text = i % LevelPieces == 0 ? m_rng() % LevelTexts : 0;
+            const auto text = i % LevelBlocks == 0 ? m_rng() % LevelTexts : 0;
             parent = parent * 0x9e3779b97f4a7c15ULL + text + 1;
             hashes[i] = parent;
         }
-        return PromptPieces::fromHashes(hashes, 300);
+        return PromptBlocks::fromHashes(hashes, 300);
     }
 
     Core::SystemClock m_clock;
     ::Placement::Placement m_placement;
     std::vector<UpstreamSlot> m_slots;
     std::optional<CandidateSet> m_set;
-    std::vector<PromptPieces> m_prompts;
+    std::vector<PromptBlocks> m_prompts;
     std::size_t m_next = 0;
     std::mt19937_64 m_rng {1};
 };
