--- a/Libraries/LibGateway/PoisonRequestTable.cpp
+++ b/Libraries/LibGateway/PoisonRequestTable.cpp
@@ -18,7 +18,7 @@
     if (m_entries.size() >= MostEntries)
         dropOld(now);
     auto &entry = m_entries[digest];
-    ++entry.breaks;
+    ++entry.failures;
     entry.last = now;
 }
 
@@ -28,7 +28,7 @@
         return;
     noteUpstreamFailure(digest, now);
     auto &entry = m_entries[digest];
-    entry.breaks = MaxUpstreamFailures;
+    entry.failures = MaxUpstreamFailures;
     entry.isTold = true;
 }
 
@@ -45,7 +45,7 @@
 bool PoisonRequestTable::isPoison(std::uint64_t digest, Core::Clock::Monotonic now) const
 {
     const auto it = m_entries.find(digest);
-    return it != m_entries.end() && it->second.breaks >= MaxUpstreamFailures
+    return it != m_entries.end() && it->second.failures >= MaxUpstreamFailures
            && now - it->second.last < KeptTime;
 }
 
--- a/Libraries/LibGateway/PoisonRequestTable.h
+++ b/Libraries/LibGateway/PoisonRequestTable.h
@@ -29,7 +29,7 @@
 private:
     struct Entry
     {
-        unsigned breaks = 0;
+        unsigned failures = 0;
         bool isTold = false;
         Core::Clock::Monotonic last;
     };
--- a/Libraries/LibMembership/SharedItem.cpp
+++ b/Libraries/LibMembership/SharedItem.cpp
@@ -166,8 +166,8 @@
 {
     const auto key = keyOf(item);
     const auto numbers = std::visit(NumberMaker {}, item);
-    const auto *mark = std::get_if<ConfigurationGeneration>(&item);
-    const auto object = mark != nullptr ? mark->digest : key.object;
+    const auto *generation = std::get_if<ConfigurationGeneration>(&item);
+    const auto object = generation != nullptr ? generation->digest : key.object;
     const auto ageCount = static_cast<std::uint32_t>(
         std::clamp<std::chrono::milliseconds::rep>(age.count(), 0, UINT32_MAX));
     return SharedRecord(key.subject, object, key.origin, version, numbers.first, numbers.second,
--- a/Libraries/LibMembership/SharedState.cpp
+++ b/Libraries/LibMembership/SharedState.cpp
@@ -30,8 +30,8 @@
 /// The configuration's version is its generation, which the log decides; other items count on.
 std::uint32_t nextVersion(const SharedItem &item, std::uint32_t known)
 {
-    const auto *mark = std::get_if<ConfigurationGeneration>(&item);
-    return mark != nullptr ? mark->generation : known + 1;
+    const auto *generation = std::get_if<ConfigurationGeneration>(&item);
+    return generation != nullptr ? generation->generation : known + 1;
 }
 
 } // namespace
--- a/Libraries/LibSiblings/SharedStateBridge.cpp
+++ b/Libraries/LibSiblings/SharedStateBridge.cpp
@@ -36,9 +36,9 @@
     retryImports();
     const auto configuration = m_instance.configuration();
     if (configuration.generation > 0) {
-        Membership::ConfigurationGeneration mark;
-        mark.generation = static_cast<std::uint32_t>(configuration.generation);
-        m_state.publish(mark);
+        Membership::ConfigurationGeneration generation;
+        generation.generation = static_cast<std::uint32_t>(configuration.generation);
+        m_state.publish(generation);
     }
     for (const auto &record : m_instance.suspects().records(PublishedSuspects)) {
         for (const auto &note : record.crashes)
@@ -53,11 +53,11 @@
     for (const auto &upstream : m_instance.directory().all()) {
         if (!upstream->isLeaving())
             continue;
-        Membership::UpstreamHealth mark;
-        mark.upstream = Core::hash64(upstream->id().value());
-        mark.incarnation = upstream->incarnation();
-        mark.condition = Membership::UpstreamCondition::Leaving;
-        m_state.publish(mark);
+        Membership::UpstreamHealth health;
+        health.upstream = Core::hash64(upstream->id().value());
+        health.incarnation = upstream->incarnation();
+        health.condition = Membership::UpstreamCondition::Leaving;
+        m_state.publish(health);
     }
 }
 
@@ -91,8 +91,8 @@
 
 void SharedStateBridge::receive(const Membership::SharedItem &item, std::chrono::milliseconds age)
 {
-    if (const auto *mark = std::get_if<Membership::ConfigurationGeneration>(&item))
-        take(*mark);
+    if (const auto *generation = std::get_if<Membership::ConfigurationGeneration>(&item))
+        take(*generation);
     else if (const auto *crash = std::get_if<Membership::PoisonCrash>(&item))
         take(*crash, age);
     else if (const auto *upstream = std::get_if<Membership::UpstreamHealth>(&item))
@@ -101,10 +101,10 @@
         take(*location, age);
 }
 
-void SharedStateBridge::take(const Membership::ConfigurationGeneration &mark)
+void SharedStateBridge::take(const Membership::ConfigurationGeneration &generation)
 {
-    if (mark.generation > m_instance.configuration().generation && m_newerConfiguration)
-        m_newerConfiguration(mark.generation);
+    if (generation.generation > m_instance.configuration().generation && m_newerConfiguration)
+        m_newerConfiguration(generation.generation);
 }
 
 void SharedStateBridge::take(const Membership::PoisonCrash &crash, std::chrono::milliseconds age)
@@ -116,12 +116,12 @@
     m_instance.suspects().merge(records);
 }
 
-void SharedStateBridge::take(const Membership::UpstreamHealth &mark)
+void SharedStateBridge::take(const Membership::UpstreamHealth &health)
 {
-    if (mark.condition != Membership::UpstreamCondition::Leaving)
+    if (health.condition != Membership::UpstreamCondition::Leaving)
         return;
-    const auto upstream = findUpstream(mark.upstream);
-    if (!upstream || upstream->incarnation() != mark.incarnation || !upstream->noteLeaving())
+    const auto upstream = findUpstream(health.upstream);
+    if (!upstream || upstream->incarnation() != health.incarnation || !upstream->noteLeaving())
         return;
     Core::logEvent(Core::EventId::UpstreamLeaving,
                    {{"upstream", upstream->id().value()}, {"source", "sibling"}});
--- a/Libraries/LibSiblings/SharedStateBridge.h
+++ b/Libraries/LibSiblings/SharedStateBridge.h
@@ -30,9 +30,9 @@
 
 private:
     void receive(const Membership::SharedItem &item, std::chrono::milliseconds age);
-    void take(const Membership::ConfigurationGeneration &mark);
+    void take(const Membership::ConfigurationGeneration &generation);
     void take(const Membership::PoisonCrash &crash, std::chrono::milliseconds age);
-    void take(const Membership::UpstreamHealth &mark);
+    void take(const Membership::UpstreamHealth &health);
     void take(const Membership::PrefixLocation &location, std::chrono::milliseconds age);
     /// Hands a sibling's belief to the placement; false while the upstream is not known here
     /// under the incarnation that the belief is about.
