--- a/Libraries/LibClaims/ClaimAttempt.cpp
+++ b/Libraries/LibClaims/ClaimAttempt.cpp
@@ -192,7 +192,7 @@
     return {AskStep {holding}};
 }
 
-// The call is refused whatever the holder says; only the key's fate is asked for.
+// The call is refused whatever the holder says; only the key's status is asked for.
 ClaimAttempt::Steps ClaimAttempt::askStatus(ErrorKind refusal,
                                             const std::optional<Holding> &holding)
 {
--- a/Libraries/LibClaims/ClaimAttempt.h
+++ b/Libraries/LibClaims/ClaimAttempt.h
@@ -107,7 +107,7 @@
     /// When a waiting call asks again.
     Core::Clock::Monotonic m_wakeAt {};
     bool m_knownRun = false;
-    /// Set when the holder is asked for the key's fate alone.
+    /// Set when the holder is asked for the key's status alone.
     std::optional<Core::ErrorKind> m_statusOnly;
     Core::ErrorKind m_refusal = Core::ErrorKind::UpstreamUnreachable;
 };
--- a/Libraries/LibClaims/ClaimCoordinator.h
+++ b/Libraries/LibClaims/ClaimCoordinator.h
@@ -49,7 +49,7 @@
     /// Refuses a call and seals its key, so that the refusal promises that nothing will ever run.
     /// Costs an append: for refusals that a resend of the same key could not change.
     boost::asio::awaitable<Outcome> refuseForGood(Call call, Core::ErrorKind refusal);
-    /// The error for a call refused at the door, with the truth about the key.
+    /// The error for a call rejected early, with what is known of the key.
     Core::Error earlyRejection(Core::ErrorKind kind, const ClaimKey &key) const;
     /// What a sibling that asks is told.
     HolderReply replyTo(const HolderQuery &query) const;
--- a/Libraries/LibClaims/ClaimCounters.h
+++ b/Libraries/LibClaims/ClaimCounters.h
@@ -17,7 +17,7 @@
     /// Claims handed to the writer.
     std::atomic<std::uint64_t> claims {0};
     std::atomic<std::uint64_t> voids {0};
-    /// Calls answered, and those among them whose key's fate was given as unknown.
+    /// Calls answered, and those among them whose key's status was given as unknown.
     std::atomic<std::uint64_t> outcomes {0};
     std::atomic<std::uint64_t> unknownKeys {0};
     std::atomic<std::uint64_t> garbage {0};
--- a/Libraries/LibClaims/ClaimEngine.h
+++ b/Libraries/LibClaims/ClaimEngine.h
@@ -74,8 +74,8 @@
     HolderReply replyTo(const HolderQuery &query) const;
     /// What can truthfully be said of a key without waiting for anybody.
     Core::ExecutionStatus keyExecutionStatus(const ClaimKey &key) const;
-    /// The error for a call that is refused at the door (overload, drain, log out, not ready,
-    /// expired key): this attempt did not run, and the key's fate is what the log shows.
+    /// The error for a call that is rejected early (overload, drain, log out, not ready,
+    /// expired key): this attempt did not run, and the key's status is what the log shows.
     Core::Error earlyRejection(Core::ErrorKind kind, const ClaimKey &key) const;
 
     std::size_t partitionOf(const ClaimKey &key) const;
--- a/Libraries/LibCore/Error.h
+++ b/Libraries/LibCore/Error.h
@@ -13,7 +13,7 @@
 class Error : public std::runtime_error
 {
 public:
-    /// An error whose attempt fate is the table's.
+    /// An error whose attempt status is the table's.
     explicit Error(ErrorKind kind, const std::string &detail = {});
     /// An error whose fates the raising place knows.
     Error(ErrorKind kind, const std::string &detail, ExecutionStatus attempt,
--- a/Libraries/LibGateway/CacheSnapshot.h
+++ b/Libraries/LibGateway/CacheSnapshot.h
@@ -12,8 +12,8 @@
 /// of each. Empty when nothing is believed.
 std::string encodeCacheSnapshot(const UpstreamFleet &fleet, const KvCacheStores &stores);
 
-/// Takes over beliefs about engines that are still in the same life with the same weights, and
-/// about stores in the same life. Returns the number of parts taken over; none from bytes that are
+/// Takes over the entries of engines that are still in the same life with the same weights, and
+/// of stores in the same life. Returns the number of parts taken over; none from bytes that are
 /// no snapshot, which is logged.
 std::size_t applyCacheSnapshot(std::string_view bytes, const UpstreamFleet &fleet,
                                KvCacheStores &stores);
--- a/Libraries/LibGateway/CacheSnapshotService.h
+++ b/Libraries/LibGateway/CacheSnapshotService.h
@@ -7,7 +7,7 @@
 
 namespace Gateway {
 
-/// Keeps the newest snapshot of beliefs about cached parts in the store, so that an instance that
+/// Keeps the newest snapshot of the cached parts in the store, so that an instance that
 /// starts need not learn them anew, even when all instances start at once. One instance writes.
 class CacheSnapshotService
 {
--- a/Libraries/LibGateway/FleetJournal.h
+++ b/Libraries/LibGateway/FleetJournal.h
@@ -25,7 +25,7 @@
     boost::asio::awaitable<void> watch();
     /// Announces this instance, again and again, until the process ends.
     boost::asio::awaitable<void> announce();
-    /// Writes the breaks that were noted, until the process ends.
+    /// Writes the upstream failures that were noted, until the process ends.
     boost::asio::awaitable<void> writeBreaks();
 
     /// Takes or renews the lease for orders. Returns whether this instance holds it then.
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -35,7 +35,7 @@
 };
 
 /// Takes callers' requests, and holds what the decisions about them share: the rates of engines,
-/// the retry allowances and the requests that break upstreams.
+/// the retry budgets and the requests that break upstreams.
 class Gateway
 {
 public:
--- a/Libraries/LibGateway/LogRelay.cpp
+++ b/Libraries/LibGateway/LogRelay.cpp
@@ -20,7 +20,7 @@
 // Knowledge that is older is as good as none; this also bounds what a wrong answer can do.
 constexpr milliseconds MostAge = 1h;
 constexpr auto LogPath = "/log";
-// The snapshot of beliefs is not followed.
+// The cache snapshot is not followed.
 constexpr auto LastTopic = FleetTopic::Journal;
 
 std::string finished(const flatbuffers::FlatBufferBuilder &builder)
--- a/Libraries/LibGateway/PoisonRequestTable.h
+++ b/Libraries/LibGateway/PoisonRequestTable.h
@@ -22,7 +22,7 @@
     /// instances would remind each other of them for ever.
     void notePoison(std::uint64_t digest, Core::Clock::Monotonic now);
     bool isPoison(std::uint64_t digest, Core::Clock::Monotonic now) const;
-    /// The digests of poison requests whose breaks this instance heard of one by one.
+    /// The digests of poison requests whose upstream failures this instance heard of one by one.
     std::vector<std::uint64_t> poison(Core::Clock::Monotonic now) const;
     std::size_t size() const { return m_entries.size(); }
 
--- a/Libraries/LibGateway/Upstream.h
+++ b/Libraries/LibGateway/Upstream.h
@@ -66,7 +66,7 @@
     /// Requests of all instances that it works on.
     unsigned allInFlight() const { return m_inFlight + m_siblingLoad.inFlight; }
 
-    /// The answers' fate, for judging by what it does rather than by what it says.
+    /// How the answers ended, for judging by what it does rather than by what it says.
     void noteOutcome(bool isGood, Core::Clock::Monotonic now);
     /// A share from 0 to 1 of recent requests that failed; fades with time.
     double failureShare(Core::Clock::Monotonic now) const;
--- a/Libraries/LibGateway/UpstreamChooser.cpp
+++ b/Libraries/LibGateway/UpstreamChooser.cpp
@@ -18,7 +18,8 @@
 constexpr std::chrono::milliseconds OldWeightsGrace {1'000};
 // What the tokens that an engine has to read cost the others that wait for it.
 constexpr double SharedCost = 1.0;
-// The home engine is taken to keep this share of a session's parts, as others may have sent them.
+// The preferred engine is taken to keep this share of a session's parts, as others may have sent
+// them.
 constexpr double HomeCredit = 0.5;
 constexpr double FailureWeight = 20;
 // A fetch costs a call to the source; fewer tokens are read sooner.
--- a/Libraries/LibGateway/UpstreamChooser.h
+++ b/Libraries/LibGateway/UpstreamChooser.h
@@ -68,9 +68,10 @@
 
 /// Chooses the engine with the least cost: the expected time to the first token, and the time that
 /// reading the prompt there takes from others. Answers load that comes in bursts while shared parts
-/// lie at few engines; sessions keep to a home engine that all instances agree on without talking.
-/// Where nobody is known to keep a session's parts, the engine is told to ask its home engine or
-/// the store: a fetch in vain costs a millisecond, and other instances may have had the parts read.
+/// lie at few engines; sessions keep to a preferred engine that all instances agree on without
+/// talking. Where nobody is known to keep a session's parts, the engine is told to ask its
+/// preferred engine or the store: a fetch in vain costs a millisecond, and other instances may have
+/// had the parts read.
 std::optional<EngineChoice> chooseEngine(const UpstreamFleet::Members &members,
                                          const EngineModel &model, const EngineDemand &demand,
                                          const ChoiceLimits &limits);
--- a/Libraries/LibGateway/WeightRoller.cpp
+++ b/Libraries/LibGateway/WeightRoller.cpp
@@ -24,7 +24,7 @@
 constexpr auto TurnStep = 60ms;
 // An engine that carries out an order refuses requests; what was sent before the order goes first.
 constexpr auto HoldTime = 2'500ms;
-// What siblings sent before they heard of the hold gets time to begin at the engine.
+// What siblings sent before they heard of the pause gets time to begin at the engine.
 constexpr std::chrono::milliseconds LeastHoldNotice = 20ms;
 constexpr std::chrono::milliseconds MostHoldNotice = 300ms;
 constexpr auto MostOrderTime = 3'000ms;
--- a/Libraries/LibMembership/SharedItem.cpp
+++ b/Libraries/LibMembership/SharedItem.cpp
@@ -75,7 +75,7 @@
     Numbers operator()(const UpstreamLoad &item) const { return {item.outstanding, 0}; }
 };
 
-// A generation or a suspicion is worth more than any amount of heat or load.
+// A generation or a suspicion is worth more than any rate of requests or load.
 constexpr double ConfigurationValue = 1e6;
 constexpr double PoisonValue = 1e5;
 constexpr double UpstreamValue = 1e5;
--- a/Libraries/LibMembership/Snapshot.h
+++ b/Libraries/LibMembership/Snapshot.h
@@ -50,7 +50,8 @@
 
 /// How much the siblings' snapshots were worth.
 enum class WarmStart {
-    /// No usable snapshot: beliefs are empty, and prefixes go to their homes by hashing alone.
+    /// No usable snapshot: the prefix-cache index is empty, and prefixes go to preferred
+    /// upstreams by hashing alone.
     None,
     /// Only siblings that started a moment ago: all they know was taken together.
     Partial,
--- a/Libraries/LibPlacement/Placement.cpp
+++ b/Libraries/LibPlacement/Placement.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 
-/// Sets up to this size are weighed whole; of larger ones, a sample besides holders and homes.
+/// Sets up to this size are weighed whole; of larger ones, a sample besides holders and preferred
+/// upstreams.
 constexpr std::size_t WholeSetSize = 64;
 constexpr std::size_t SampleSize = 16;
 
-/// A piece unused for longer than this is ever less likely to be cached still.
+/// A block unused for longer than this is ever less likely to be cached still.
 constexpr std::chrono::seconds PrefixCacheEntryLifetime {40};
 
 } // namespace
--- a/Libraries/LibPlacement/Placement.h
+++ b/Libraries/LibPlacement/Placement.h
@@ -10,7 +10,7 @@
 /// Parts of the decision, each of which can be switched off to see its worth.
 struct PlacementSettings
 {
-    /// Pieces that beliefs are kept for; one takes about 120 bytes.
+    /// Blocks that the prefix-cache index has room for; one takes about 120 bytes.
     std::size_t prefixIndexCapacity = 65536;
     bool usesPrefixIndex = true;
     bool usesPreferredUpstreams = true;
@@ -21,11 +21,12 @@
     bool randomises = true;
     /// How much a missed token weighs beside a waited one: storing it evicts another's.
     double missWeight = 4;
-    /// Chance that a home holds a piece that nothing else is known of.
+    /// Chance that a preferred upstream holds a block that nothing else is known of.
     double preferredUpstreamPrior = 0.2;
     /// Sends of each sibling, as a share of this instance's own, that a load report may miss.
     double siblingShare = 0.1;
-    /// Load that one upstream should carry for one prefix before the prefix gets another home.
+    /// Load that one upstream should carry for one prefix before the prefix gets another preferred
+    /// upstream.
     double preferredUpstreamUtilisation = 0.4;
     /// Candidates whose cost lies this share above the least count as equal.
     double nearEqualShare = 0.05;
@@ -86,7 +87,7 @@
     std::vector<Row> rows;
 };
 
-/// One belief to hand to a sibling.
+/// One entry of the prefix-cache index to hand to a sibling.
 struct FrequentPrefix
 {
     struct At
@@ -140,17 +141,17 @@
     void noteFailed(const Decision &decision);
     /// Reports of another than the present incarnation are ignored or start a new one.
     void noteLoadReport(UpstreamSlot slot, const LoadReport &report);
-    /// The upstream stored or evicted the piece the given time ago.
+    /// The upstream stored or evicted the block the given time ago.
     void noteCacheEvent(UpstreamSlot slot, std::uint64_t incarnation, BlockHash block,
                         bool isStored, std::chrono::milliseconds age);
 
-    /// The hottest beliefs that this instance's own sends met within the time, most requests
+    /// The most requested prefixes that this instance itself sent within the time, most requests
     /// first. A short time gives a sibling that is up what is new, a long one a sibling that
     /// starts what there is.
     std::vector<FrequentPrefix>
     exportFrequentPrefixes(std::size_t limit,
                            std::chrono::milliseconds within = std::chrono::hours(1)) const;
-    /// Takes over a sibling's beliefs of upstreams whose incarnation is the present one here.
+    /// Takes over a sibling's entries about upstreams whose incarnation is the present one here.
     void importFrequentPrefixes(std::span<const FrequentPrefix> entries);
 
     const UpstreamTable &upstreams() const { return m_upstreams; }
@@ -159,18 +160,18 @@
     struct Scratch;
 
     IndexTime now() const;
-    /// Gathers candidates: believed holders, homes, and all or a sample of the rest.
+    /// Gathers candidates: expected holders, preferred upstreams, and all or a sample of the rest.
     void gather(Scratch &scratch, const PlacementRequest &request, const CandidateSet &candidates,
                 std::mt19937_64 &rng) const;
-    /// Adds what the holders and homes of each piece are expected to have cached.
+    /// Adds what the holders and preferred upstreams of each block are expected to have cached.
     void creditBlocks(Scratch &scratch, const PlacementRequest &request,
                       const CandidateSet &candidates) const;
-    /// Credits the piece at the index to its believed holders.
+    /// Credits the block at the index to its expected holders.
     void creditHolders(Scratch &scratch, const PrefixCacheEntry &entry, std::size_t block,
                        const CandidateSet &candidates) const;
-    /// Homes that a prefix with this many own requests a second should have.
+    /// Preferred upstreams that a prefix with this many own requests a second should have.
     std::size_t preferredUpstreamCount(double rate) const;
-    /// The chance that a piece last used then is still cached.
+    /// The chance that a block last used then is still cached.
     static double survival(IndexTime lastUse, IndexTime now);
     /// Fills in every term but the cached tokens, which must stand.
     void reckon(CostTerms &terms, const PlacementRequest &request, const CandidateSet &candidates,
--- a/Libraries/LibPlacement/PlacementNotes.cpp
+++ b/Libraries/LibPlacement/PlacementNotes.cpp
@@ -74,7 +74,7 @@
     learnSlowness(decision, state, time);
     if (cachedTokens)
         noteCachedTokens(decision, blocks, *cachedTokens);
-    // The prefill just done left every piece in the cache.
+    // The prefill just done left every block in the cache.
     for (const auto hash : blocks.hashes())
         m_prefixIndex.recordHolder(hash, decision.slot, decision.epoch, time);
 }
@@ -122,7 +122,7 @@
 {
     if (!m_settings.usesCacheEvents)
         return;
-    // The epoch is read first: if a new incarnation comes between, the belief is void.
+    // The epoch is read first: if a new incarnation comes between, the entry is void.
     const auto epoch = m_upstreams.state(slot).epoch.load(std::memory_order_acquire);
     if (!m_upstreams.noteIncarnation(slot, incarnation) || !m_upstreams.isCurrent(slot, epoch))
         return;
--- a/Libraries/LibPlacement/PlacementScratch.h
+++ b/Libraries/LibPlacement/PlacementScratch.h
@@ -11,9 +11,9 @@
 struct Weighed
 {
     CostTerms terms;
-    /// Pieces credited so far; a chain ends at the first piece that is not believed cached.
+    /// Blocks credited so far; a chain ends at the first block not expected to be cached.
     std::size_t blocks = 0;
-    /// Chance that the last credited piece is cached.
+    /// Chance that the last credited block is cached.
     double chance = 1;
     double cachedTokens = 0;
 };
@@ -35,11 +35,11 @@
     void begin(IndexTime time);
     /// The entry of the upstream, added if there is room; null if not.
     Weighed *add(UpstreamSlot slot);
-    /// Credits the piece at the index to the upstream if its chain reaches up to it.
+    /// Credits the block at the index to the upstream if its chain reaches up to it.
     void credit(UpstreamSlot slot, std::size_t block, double chance);
-    /// Credits every piece up to the index to a home of the piece.
+    /// Credits every block up to the index to a preferred upstream of the block.
     void creditPreferredUpstream(UpstreamSlot slot, std::size_t block, double chance);
-    /// Whether the position is among the present homes.
+    /// Whether the position is among the present preferred upstreams.
     bool isPreferred(std::size_t position) const;
 };
 
--- a/Libraries/LibPlacement/PrefixCacheIndex.cpp
+++ b/Libraries/LibPlacement/PrefixCacheIndex.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Heat falls to 1/e in this time. Short, so that a shift of the hot prefixes shows in seconds.
+/// Decayed requests fall to 1/e in this time. Short, so that a shift of the frequent prefixes shows
+/// in seconds.
 constexpr std::chrono::duration<double> RequestDecay {10.0};
 
 double decayedRequestsAt(const PrefixCacheEntry &entry, IndexTime now)
--- a/Libraries/LibRouter/CompletionRelay.h
+++ b/Libraries/LibRouter/CompletionRelay.h
@@ -63,7 +63,7 @@
     std::unique_ptr<AnswerSink> m_sink;
     AnswerProgress m_progress;
     std::vector<Placement::UpstreamSlot> m_tried;
-    /// The last failure, with the fate of all attempts so far.
+    /// The last failure, with the status of all attempts so far.
     std::optional<Core::Error> m_lastError;
     Admission::Grant m_grant;
     bool m_isSuspect = false;
--- a/Libraries/LibSiblings/SharedStateBridge.cpp
+++ b/Libraries/LibSiblings/SharedStateBridge.cpp
@@ -130,7 +130,7 @@
 void SharedStateBridge::take(const Membership::PrefixLocation &location,
                              std::chrono::milliseconds age)
 {
-    // A starting instance gets a sibling's beliefs before it has heard from the upstreams.
+    // A starting instance gets a sibling's prefix locations before it has heard from the upstreams.
     if (!import(location, age) && m_pendingPrefixLocations.size() < MaxPendingPrefixLocations)
         m_pendingPrefixLocations.push_back({location, m_instance.clock().now() - age});
 }
--- a/Libraries/LibSiblings/SharedStateBridge.h
+++ b/Libraries/LibSiblings/SharedStateBridge.h
@@ -34,8 +34,8 @@
     void take(const Membership::PoisonCrash &crash, std::chrono::milliseconds age);
     void take(const Membership::UpstreamHealth &health);
     void take(const Membership::PrefixLocation &location, std::chrono::milliseconds age);
-    /// Hands a sibling's belief to the placement; false while the upstream is not known here
-    /// under the incarnation that the belief is about.
+    /// Hands a sibling's prefix location to the placement; false while the upstream is not known
+    /// here under the incarnation that it is about.
     bool import(const Membership::PrefixLocation &location, std::chrono::milliseconds age);
     void retryImports();
     Router::UpstreamPtr findUpstream(std::uint64_t idHash) const;
@@ -46,7 +46,7 @@
     NewerConfigurationHook m_newerConfiguration;
     Membership::SharedState m_state;
 
-    /// A belief that came before this instance had heard from its upstream.
+    /// A prefix location that came before this instance had heard from its upstream.
     struct PendingPrefixLocation
     {
         Membership::PrefixLocation location;
--- a/Libraries/LibSiblings/WarmStart.cpp
+++ b/Libraries/LibSiblings/WarmStart.cpp
@@ -39,7 +39,7 @@
             const auto snapshot = Peer::takeReply<Peer::Wire::SnapshotT>(reply);
             m_probes.adopt(collector.add(snapshot, address, m_bridge.state()));
         } catch (const Core::Error &) {
-            // Another sibling may answer; without any, homes come from hashing alone.
+            // Another sibling may answer; without any, preferred upstreams come from hashing alone.
         }
     }
     co_return collector.result();
--- a/Tests/LibGateway/TestPlacement.cpp
+++ b/Tests/LibGateway/TestPlacement.cpp
@@ -98,7 +98,7 @@
 {
     Fixture fixture;
     const auto preferred = fixture.chosen();
-    // The home itself has nobody else to ask while there is no store.
+    // The preferred engine itself has nobody else to ask while there is no store.
     CHECK_FALSE(fixture.choose()->source);
     CHECK_FALSE(fixture.choose()->isFromStore);
     Gateway::KvCacheStore store(Http::parseEndpoint("127.0.0.1:9").value());
--- a/Tests/LibPlacement/TestPrefixCacheIsolation.cpp
+++ b/Tests/LibPlacement/TestPrefixCacheIsolation.cpp
@@ -28,7 +28,7 @@
         : m_rng(seed)
     {
         PlacementSettings settings;
-        // Without homes, whatever is expected cached comes from beliefs alone.
+        // Without preferred upstreams, what is expected cached comes from the index alone.
         settings.usesPreferredUpstreams = false;
         m_placement = std::make_unique<::Placement::Placement>(m_clock, settings);
         for (std::size_t i = 0; i < Engines; ++i)
--- a/Utilities/jujubebench/BaselinePolicies.cpp
+++ b/Utilities/jujubebench/BaselinePolicies.cpp
@@ -94,7 +94,7 @@
     std::vector<std::vector<std::size_t>> m_loads;
 };
 
-/// Plain consistent hashing (rendezvous) of one piece of the prompt.
+/// Plain consistent hashing (rendezvous) of one block of the prompt.
 class HashPolicy final : public Policy
 {
 public:
--- a/Utilities/jujubebench/FakeEngine.h
+++ b/Utilities/jujubebench/FakeEngine.h
@@ -11,7 +11,7 @@
 
 namespace Bench {
 
-/// Tokens in one cache piece.
+/// Tokens in one cache block.
 constexpr std::uint64_t BlockTokens = 2000;
 
 /// The speed and size of one fake engine.
@@ -32,9 +32,9 @@
 struct EngineRequest
 {
     std::uint64_t id = 0;
-    /// Chained piece hashes, BlockTokens each.
+    /// Chained block hashes, BlockTokens each.
     std::vector<std::uint64_t> blocks;
-    /// Prompt tokens after the last whole piece, never cached.
+    /// Prompt tokens after the last whole block, never cached.
     std::uint64_t tailTokens = 0;
     std::uint64_t outputTokens = 0;
     /// Lower runs first.
--- a/Utilities/jujubebench/OurPolicy.cpp
+++ b/Utilities/jujubebench/OurPolicy.cpp
@@ -18,7 +18,7 @@
 /// Settings of the library and of what its caller does.
 struct OurSettings : PlacementSettings
 {
-    // Several times the pieces that all engines hold, and quick to search at each exchange.
+    // Several times the blocks that all engines hold, and quick to search at each exchange.
     OurSettings() { prefixIndexCapacity = 8192; }
     bool exchanges = true;
 };
@@ -80,7 +80,7 @@
     std::unordered_map<std::uint64_t, Placement::Decision> decisions;
 };
 
-/// Beliefs handed to a sibling that starts, and to one that is up at each exchange.
+/// Prefixes handed to a sibling that starts, and to one that is up at each exchange.
 constexpr std::size_t HandedPrefixes = 2000;
 constexpr std::size_t ExchangedPrefixes = 64;
 
--- a/Utilities/jujubebench/PlacementScenario.cpp
+++ b/Utilities/jujubebench/PlacementScenario.cpp
@@ -36,7 +36,7 @@
     seconds warmUp {10};
     ViewSettings views;
     double loadFactor = 1;
-    /// Cache size of every engine in pieces; zero keeps the deployment's.
+    /// Cache size of every engine in blocks; zero keeps the deployment's.
     std::size_t cacheBlocks = 0;
     bool hasShift = false;
     bool isAblated = false;
--- a/Utilities/jujubebench/PrefixCache.h
+++ b/Utilities/jujubebench/PrefixCache.h
@@ -9,25 +9,25 @@
 
 namespace Bench {
 
-/// What a cache did with one piece.
+/// What a cache did with one block.
 enum class CacheChange {
     Stored,
     Evicted,
 };
 
-/// An engine's prefix cache: piece hashes kept by last use, the leaf of a chain evicted before its
+/// An engine's prefix cache: block hashes kept by last use, the leaf of a chain evicted before its
 /// root.
 class PrefixCache
 {
 public:
     using ChangeHook = std::function<void(CacheChange, std::uint64_t block)>;
 
-    /// Room for the given number of pieces.
+    /// Room for the given number of blocks.
     explicit PrefixCache(std::size_t capacity);
 
-    /// Called for every piece stored or evicted; not for clear().
+    /// Called for every block stored or evicted; not for clear().
     void setChangeHook(ChangeHook hook) { m_changeHook = std::move(hook); }
-    /// The number of leading pieces of the chain that are cached, without counting as a use.
+    /// The number of leading blocks of the chain that are cached, without counting as a use.
     std::size_t match(std::span<const std::uint64_t> chain) const;
     /// Marks the chain as used and stores what is missing, evicting the least recently used.
     void store(std::span<const std::uint64_t> chain);
--- a/Utilities/jujubebench/Workload.cpp
+++ b/Utilities/jujubebench/Workload.cpp
@@ -54,7 +54,7 @@
     return Core::hash64({reinterpret_cast<const char *>(words.data()), sizeof words});
 }
 
-/// Appends the pieces of one text of each level.
+/// Appends the blocks of one text of each level.
 void appendBlocks(const WorkloadSettings &settings, const std::vector<ZipfDraw> &draws,
                   std::mt19937_64 &rng, WorkItem &item)
 {
--- a/Utilities/jujubebench/Workload.h
+++ b/Utilities/jujubebench/Workload.h
@@ -13,7 +13,7 @@
 {
     /// Different texts under one parent.
     std::size_t count = 1;
-    /// Cache pieces of each text.
+    /// Cache blocks of each text.
     std::size_t blocks = 1;
     /// Zipf exponent of the texts' popularity; zero is even.
     double skew = 0;
@@ -51,7 +51,7 @@
     EventQueue::Duration arrival {0};
     std::size_t team = 0;
     bool isUrgent = true;
-    /// Chained piece hashes, BlockTokens each.
+    /// Chained block hashes, BlockTokens each.
     std::vector<std::uint64_t> blocks;
     std::uint64_t tailTokens = 0;
     std::uint64_t outputTokens = 0;
--- a/Utilities/jujubedecision/main.cpp
+++ b/Utilities/jujubedecision/main.cpp
@@ -14,7 +14,7 @@
 
 using namespace Placement;
 
-/// Texts of each of the four nesting levels, and pieces of each text.
+/// Texts of each of the four nesting levels, and blocks of each text.
 constexpr std::size_t LevelTexts = 8;
 constexpr std::size_t LevelBlocks = 2;
 constexpr std::size_t Levels = 4;
@@ -22,7 +22,7 @@
 constexpr std::size_t SmallFleet = 150;
 constexpr std::size_t LargeFleet = 1500;
 
-/// A fleet with warm beliefs, and prompts of four nested levels.
+/// A fleet with a warm prefix-cache index, and prompts of four nested levels.
 class Fleet
 {
 public:
