--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -5,10 +5,10 @@
 #include <LibGateway/EngineModel.h>
 #include <LibGateway/GatewayMetrics.h>
 #include <LibGateway/GatewaySettings.h>
-#include <LibGateway/PartStores.h>
-#include <LibGateway/PoisonLedger.h>
+#include <LibGateway/KvCacheStores.h>
+#include <LibGateway/PoisonRequestTable.h>
 #include <LibGateway/RequestDialect.h>
-#include <LibGateway/RetryAllowance.h>
+#include <LibGateway/RetryBudgetShare.h>
 #include <LibGateway/UpstreamFleet.h>
 #include <LibGateway/WeightsTargets.h>
 #include <LibHttp/Client.h>
@@ -23,7 +23,7 @@
 namespace Gateway {
 
 /// What a request's way through this instance works with.
-struct GatewayParts
+struct GatewayDependencies
 {
     const GatewaySettings &settings;
     const Core::Clock &clock;
@@ -35,11 +35,11 @@
 };
 
 /// Takes callers' requests, and holds what the decisions about them share: the rates of engines,
-/// the retry allowances and the requests that break upstreams.
+/// the retry budgets and the requests that break upstreams.
 class Gateway
 {
 public:
-    explicit Gateway(GatewayParts parts);
+    explicit Gateway(GatewayDependencies dependencies);
 
     /// Serves one request; a handler of Http::Server.
     boost::asio::awaitable<void> handle(Http::ServerExchange &exchange);
@@ -59,20 +59,20 @@
     void refuseAll() { m_isRefusing = true; }
     bool isRefusing() const { return m_isRefusing; }
 
-    const GatewayParts &parts() const { return m_parts; }
+    const GatewayDependencies &dependencies() const { return m_dependencies; }
     GatewayMetrics &metrics() { return m_metrics; }
-    PartStores &stores() { return m_stores; }
-    PoisonLedger &poison() { return m_poison; }
+    KvCacheStores &stores() { return m_stores; }
+    PoisonRequestTable &poison() { return m_poison; }
     EngineModel &engineModel(const std::string &service) { return m_models[service]; }
-    RetryAllowance &retries(const std::string &service) { return m_retries[service]; }
+    RetryBudgetShare &retries(const std::string &service) { return m_retries[service]; }
     std::minstd_rand &random() { return m_random; }
 
     /// Called with the digest of a request under which an upstream broke.
     std::function<void(std::uint64_t)> onBreak;
     /// Called when an engine has read a prompt's parts.
     std::function<void(const Upstream &, std::span<const PromptPart>)> onPartsRead;
-    /// Called when an engine has saved a prompt's parts, as PartStore::storedParts() gives them.
-    std::function<void(const PartStore &, std::span<const PromptPart>)> onPartsStored;
+    /// Called when an engine has saved a prompt's parts, as KvCacheStore::storedParts() gives them.
+    std::function<void(const KvCacheStore &, std::span<const PromptPart>)> onPartsStored;
     /// Called when an upstream is to get nothing for a while.
     std::function<void(const Upstream &, std::chrono::milliseconds)> onHold;
     /// Called when an upstream could not be reached.
@@ -84,12 +84,12 @@
         onWeightsSeen;
 
 private:
-    GatewayParts m_parts;
+    GatewayDependencies m_dependencies;
     GatewayMetrics m_metrics;
-    PartStores m_stores;
-    PoisonLedger m_poison;
+    KvCacheStores m_stores;
+    PoisonRequestTable m_poison;
     std::map<std::string, EngineModel> m_models;
-    std::map<std::string, RetryAllowance> m_retries;
+    std::map<std::string, RetryBudgetShare> m_retries;
     std::minstd_rand m_random;
     std::optional<unsigned> m_instances;
     bool m_isDraining = false;
--- a/Libraries/LibGateway/RequestPlan.cpp
+++ b/Libraries/LibGateway/RequestPlan.cpp
@@ -50,18 +50,18 @@
 EngineDemand demandOf(const Gateway &gateway, const AcceptedRequest &request,
                       const EngineLimits &engine)
 {
-    const auto &parts = gateway.parts();
+    const auto &dependencies = gateway.dependencies();
     EngineDemand demand;
     demand.parts = request.parts;
     demand.promptTokens = request.promptTokens();
     if (request.parts.size() > 1)
-        demand.homeKey = request.parts[request.parts.size() - 2].chain;
+        demand.affinityKey = request.parts[request.parts.size() - 2].chain;
     demand.sharedTokens = request.sharedTokens();
     demand.model = request.caller.model;
     demand.isUrgent = isUrgent(*request.route, request.tenant);
-    demand.targets = &parts.weights;
+    demand.targets = &dependencies.weights;
     demand.weightsPatience =
-        duration_cast<milliseconds>(WeightsPatienceShare * parts.settings.weightsBound);
+        duration_cast<milliseconds>(WeightsPatienceShare * dependencies.settings.weightsBound);
     demand.slots = engine.slots;
     demand.memoryTokens = request.memoryTokens();
     demand.memoryCapacity = engine.cacheTokens;
@@ -87,23 +87,23 @@
 }
 
 /// Whether the prompt's parts are worth a place in the store that does not have them yet.
-bool isWorthSaving(const PartStore &store, const AcceptedRequest &request, std::uint64_t weights)
+bool isWorthSaving(const KvCacheStore &store, const AcceptedRequest &request, std::uint64_t weights)
 {
     // The last part is the request's own; saving it takes room from what others share.
     if (request.parts.size() < 2)
         return false;
     const std::span shared(request.parts.data(), request.parts.size() - 1);
     const auto tokens = totalTokens(shared);
-    return tokens >= PartStore::LeastTokens && store.storedTokens(shared, weights) < tokens;
+    return tokens >= KvCacheStore::LeastTokens && store.storedTokens(shared, weights) < tokens;
 }
 
 std::variant<RequestPlan, Refusal> planEngine(Gateway &gateway, const AcceptedRequest &request,
                                               const Service &service, const ChoiceLimits &limits)
 {
     auto demand = demandOf(gateway, request, *service.engine);
-    const auto *store = gateway.stores().storeFor(demand.homeKey);
+    const auto *store = gateway.stores().storeFor(demand.affinityKey);
     demand.store = store;
-    auto chosen = chooseEngine(gateway.parts().fleet.members(service.name),
+    auto chosen = chooseEngine(gateway.dependencies().fleet.members(service.name),
                                gateway.engineModel(service.name), demand, limits);
     if (!chosen)
         return Refusal {Core::ErrorKind::NoUpstream, "no engine of " + service.name + " is free",
@@ -122,7 +122,7 @@
 
 } // namespace
 
-std::uint64_t RequestPlan::unreadyTokens(const AcceptedRequest &request) const
+std::uint64_t RequestPlan::uncachedTokens(const AcceptedRequest &request) const
 {
     const auto total = totalTokens(request.parts);
     return engine ? total - std::min(total, engine->readyTokens) : 0;
@@ -147,22 +147,23 @@
         return Refusal {Core::ErrorKind::NoUpstream, "service " + name + " is not configured",
                         ShortRetryAfter};
     ChoiceLimits limits;
-    limits.mostInFlight =
+    limits.maxInFlight =
         std::max(2U, service->maxConnections / (gateway.instances().value_or(1) + SpareInstances));
     limits.excluded = excluded;
-    limits.now = gateway.parts().clock.now();
+    limits.now = gateway.dependencies().clock.now();
     if (service->engine && !request.caller.model.empty())
         return planEngine(gateway, request, *service, limits);
     RequestPlan plan;
     plan.service = name;
-    plan.upstream = chooseService(gateway.parts().fleet.members(name), limits, gateway.random());
+    plan.upstream =
+        chooseService(gateway.dependencies().fleet.members(name), limits, gateway.random());
     if (!plan.upstream)
         return Refusal {Core::ErrorKind::NoUpstream, "no upstream of " + name + " is free",
                         ShortRetryAfter};
     return plan;
 }
 
-PartStore *partStoreOf(Gateway &gateway, const RequestPlan &plan)
+KvCacheStore *kvCacheStoreOf(Gateway &gateway, const RequestPlan &plan)
 {
     auto *store = gateway.stores().find(plan.storeHolder);
     return store && store->isAnswering() ? store : nullptr;
--- a/Libraries/LibGateway/RequestPlan.h
+++ b/Libraries/LibGateway/RequestPlan.h
@@ -27,7 +27,7 @@
     bool isSaving = false;
 
     /// Prompt tokens that the engine is expected to read.
-    std::uint64_t unreadyTokens(const AcceptedRequest &request) const;
+    std::uint64_t uncachedTokens(const AcceptedRequest &request) const;
     /// Where the engine is told to fetch parts from, for the log.
     std::string fetchSource() const;
 };
@@ -39,6 +39,6 @@
                                                const std::set<Core::UpstreamId> &excluded);
 
 /// The store that the plan names, while it answers; null otherwise.
-PartStore *partStoreOf(Gateway &gateway, const RequestPlan &plan);
+KvCacheStore *kvCacheStoreOf(Gateway &gateway, const RequestPlan &plan);
 
 } // namespace Gateway
--- a/Libraries/LibGateway/RequestRelay.cpp
+++ b/Libraries/LibGateway/RequestRelay.cpp
@@ -30,7 +30,7 @@
 constexpr auto LeastRetryAfter = 100ms;
 // Entries of the list lapse after this many reports that did not come.
 constexpr int LapsedReports = 3;
-constexpr auto BusyHold = 120ms;
+constexpr auto BusyPause = 120ms;
 // Shorter times to the first token say little about an engine's speed.
 constexpr EngineModel::Milliseconds LeastJudgedTime {20};
 
@@ -52,7 +52,7 @@
     : m_gateway(gateway)
     , m_exchange(exchange)
 {
-    m_request.arrival = gateway.parts().clock.now();
+    m_request.arrival = gateway.dependencies().clock.now();
 }
 
 RequestRelay::~RequestRelay()
@@ -62,7 +62,7 @@
 
 asio::awaitable<void> RequestRelay::run()
 {
-    auto refusal = m_request.read(m_gateway.parts().dialect, m_exchange.request());
+    auto refusal = m_request.read(m_gateway.dependencies().dialect, m_exchange.request());
     if (!refusal && m_gateway.isRefusing())
         refusal = Refusal {Core::ErrorKind::Draining, "the instance ends", LeastRetryAfter};
     if (!refusal)
@@ -126,7 +126,7 @@
         }
         m_plan = std::move(std::get<RequestPlan>(plan));
         if (isFirst)
-            m_gateway.retries(m_plan->service).noteRequest(m_gateway.parts().clock.now());
+            m_gateway.retries(m_plan->service).noteRequest(m_gateway.dependencies().clock.now());
         isFirst = false;
         const auto end = co_await attempt();
         if (end == AttemptEnd::Answered || !mayTryAgain(end)) {
@@ -150,11 +150,11 @@
 {
     if (m_endReason != EndReason::None)
         return false;
-    const auto &parts = m_gateway.parts();
+    const auto &dependencies = m_gateway.dependencies();
     if (m_plan->upstream->isGone() || m_plan->upstream->report().isDraining
-        || m_plan->upstream->heldUntil() > parts.clock.now())
+        || m_plan->upstream->pausedUntil() > dependencies.clock.now())
         return false;
-    const auto &current = parts.configuration.current();
+    const auto &current = dependencies.configuration.current();
     if (current == m_request.configuration)
         return m_request.route->isPublic || current->tenants.empty() || m_gateway.knowsKeys();
     // Another version came in force since the choice; choose anew under it.
@@ -165,10 +165,11 @@
 {
     if (m_endReason != EndReason::None || left() <= 0ms)
         return false;
-    const auto &parts = m_gateway.parts();
+    const auto &dependencies = m_gateway.dependencies();
     const auto mayRepeat = [&] {
         return m_gateway.retries(m_plan->service)
-            .tryRepeat(parts.settings.retries, m_gateway.instances(), parts.clock.now());
+            .tryRepeat(dependencies.settings.retries, m_gateway.instances(),
+                       dependencies.clock.now());
     };
     switch (end) {
     case AttemptEnd::NotSent:
@@ -178,7 +179,8 @@
     case AttemptEnd::Broken:
     case AttemptEnd::FailedByUpstream:
         return m_request.route->mayRunAgain() && m_runs < m_request.route->maxAttempts
-               && !m_gateway.poison().isPoison(m_request.digest, parts.clock.now()) && mayRepeat();
+               && !m_gateway.poison().isPoison(m_request.digest, dependencies.clock.now())
+               && mayRepeat();
     case AttemptEnd::StreamBroken:
         return m_request.route->mayRunAgain() && !m_events.lastId().empty()
                && m_runs < m_request.route->maxAttempts && mayRepeat();
@@ -193,12 +195,12 @@
 {
     ++m_progress.sends;
     m_excluded.insert(m_plan->upstream->report().id);
-    const auto missed = m_plan->unreadyTokens(m_request);
+    const auto missed = m_plan->uncachedTokens(m_request);
     if (m_plan->engine) {
         const auto total = totalTokens(m_request.parts);
         auto &metrics = m_gateway.metrics();
         metrics.promptTokens.add(total, m_request.labels());
-        metrics.keptTokens.add(total - missed, m_request.labels());
+        metrics.cachedTokens.add(total - missed, m_request.labels());
         metrics.expectedFirst.observe(
             duration_cast<std::chrono::nanoseconds>(m_plan->engine->expectedFirst),
             m_request.labels());
@@ -206,9 +208,10 @@
         m_plan->upstream->memory().setCapacity(service->engine->cacheTokens);
     }
     UpstreamLoad load(m_plan->upstream, missed, m_request.memoryTokens(),
-                      isUrgent(*m_request.route, m_request.tenant), m_gateway.parts().clock.now());
+                      isUrgent(*m_request.route, m_request.tenant),
+                      m_gateway.dependencies().clock.now());
     const auto end = co_await exchangeWith(load);
-    const auto now = m_gateway.parts().clock.now();
+    const auto now = m_gateway.dependencies().clock.now();
     if (end == AttemptEnd::Answered)
         m_plan->upstream->noteOutcome(true, now);
     else if (end != AttemptEnd::Ended && end != AttemptEnd::NotRun)
@@ -233,7 +236,7 @@
         const auto weights = m_plan->upstream->weights(m_request.caller.model);
         dispatch.weights = weights;
         dispatch.cacheScope += ".weights-" + text(weights);
-        const auto *store = partStoreOf(m_gateway, *m_plan);
+        const auto *store = kvCacheStoreOf(m_gateway, *m_plan);
         if (store && m_plan->engine->isFromStore)
             dispatch.fetchFrom = store->endpoint();
         if (store && m_plan->isSaving)
@@ -245,7 +248,7 @@
     dispatch.resumeAfter =
         m_events.lastId().empty() ? m_request.caller.resumeAfter : m_events.lastId();
     return Http::Request(request.method, request.target,
-                         m_gateway.parts().dialect.upstreamHeaders(request, dispatch),
+                         m_gateway.dependencies().dialect.upstreamHeaders(request, dispatch),
                          request.body);
 }
 
@@ -272,8 +275,8 @@
     std::unique_ptr<Http::ClientExchange> answer;
     std::optional<Core::Error> failure;
     try {
-        answer = co_await m_gateway.parts().client.open(m_plan->upstream->report().endpoint,
-                                                        upstreamRequest(), timeouts, options);
+        answer = co_await m_gateway.dependencies().client.open(
+            m_plan->upstream->report().endpoint, upstreamRequest(), timeouts, options);
     } catch (const Core::Error &error) {
         failure = error;
     }
@@ -309,7 +312,8 @@
     if (m_hasTimedOut)
         noteUnreachable();
     if (error.kind() == Core::ErrorKind::UpstreamFailed) {
-        m_gateway.poison().noteBreak(m_request.digest, m_gateway.parts().clock.now());
+        m_gateway.poison().noteUpstreamFailure(m_request.digest,
+                                               m_gateway.dependencies().clock.now());
         if (m_gateway.onBreak)
             m_gateway.onBreak(m_request.digest);
     }
@@ -319,13 +323,14 @@
 asio::awaitable<RequestRelay::AttemptEnd> RequestRelay::relayAnswer(Http::ClientExchange &answer,
                                                                     UpstreamLoad &load)
 {
-    const auto head = m_gateway.parts().dialect.readHead(answer.status(), answer.headers());
+    const auto head = m_gateway.dependencies().dialect.readHead(answer.status(), answer.headers());
     if (!head.attemptId.empty() && head.attemptId != m_request.caller.attemptId) {
         Core::logEvent(Core::EventId::UpstreamAnswerInvalid,
                        {{"upstream", m_plan->upstream->report().id.value()},
                         {"request", m_request.caller.attemptId},
                         {"answered", head.attemptId}});
-        co_return noteBroken(Core::Error(Core::ErrorKind::UpstreamGarbage, "another's answer"));
+        co_return noteBroken(
+            Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "another's answer"));
     }
     std::optional<Core::Error> failure;
     try {
@@ -343,7 +348,7 @@
         auto headers = Http::withoutConnectionFields(answer.headers());
         const bool isSuccess = answer.status() < 300;
         if (!head.isSealed)
-            co_return noteBroken(Core::Error(Core::ErrorKind::UpstreamGarbage, "no seal"));
+            co_return noteBroken(Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "no seal"));
         if (isSuccess && m_request.route->kind == RequestKind::Stream)
             co_return co_await relayStream(answer, std::move(headers), load);
         co_return co_await relayWhole(answer, std::move(headers));
@@ -355,32 +360,32 @@
 
 void RequestRelay::noteUnreachable()
 {
-    const auto now = m_gateway.parts().clock.now();
-    m_plan->upstream->holdUntil(
-        std::max(m_plan->upstream->heldUntil(), now + Upstream::UnreachableHold));
+    const auto now = m_gateway.dependencies().clock.now();
+    m_plan->upstream->pauseUntil(
+        std::max(m_plan->upstream->pausedUntil(), now + Upstream::UnreachablePause));
     if (m_gateway.onUnreachable)
         m_gateway.onUnreachable(*m_plan->upstream);
 }
 
 void RequestRelay::noteRefusedByUpstream(unsigned status, const AnswerHead &head)
 {
-    const auto now = m_gateway.parts().clock.now();
+    const auto now = m_gateway.dependencies().clock.now();
     noteAttempt(head.isOtherUpstream ? "other_upstream" : "not_run",
                 std::to_string(status) + " from " + head.upstream.value() + ", believed weights "
                     + text(m_plan->upstream->weights(m_request.caller.model)));
     if (head.isOtherUpstream && head.upstream != m_plan->upstream->report().id) {
         // Another life has the address; the entry of the one before has yet to lapse.
-        m_plan->upstream->holdUntil(now
-                                    + LapsedReports * m_gateway.parts().settings.reportInterval);
+        m_plan->upstream->pauseUntil(
+            now + LapsedReports * m_gateway.dependencies().settings.reportInterval);
         if (m_gateway.onHold)
             m_gateway.onHold(*m_plan->upstream,
-                             LapsedReports * m_gateway.parts().settings.reportInterval);
+                             LapsedReports * m_gateway.dependencies().settings.reportInterval);
         return;
     }
     if (!m_plan->engine)
         return;
     // It is full or carries out an order, or took other weights than were known.
-    m_plan->upstream->holdUntil(std::max(m_plan->upstream->heldUntil(), now + BusyHold));
+    m_plan->upstream->pauseUntil(std::max(m_plan->upstream->pausedUntil(), now + BusyPause));
     if (head.isOtherUpstream && m_gateway.onOtherWeights)
         m_gateway.onOtherWeights(m_plan->upstream);
 }
@@ -392,7 +397,8 @@
     while (auto piece = co_await answer.readSome()) {
         response.body += *piece;
         if (response.body.size() > AnswerLimitBytes)
-            co_return noteBroken(Core::Error(Core::ErrorKind::UpstreamGarbage, "too large"));
+            co_return noteBroken(
+                Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "too large"));
     }
     if (response.status >= 500) {
         noteAttempt("failed", std::to_string(response.status));
@@ -403,7 +409,7 @@
         co_return AttemptEnd::StreamBroken;
     if (m_endReason == EndReason::CallerGone)
         co_return AttemptEnd::Ended;
-    m_gateway.metrics().firstByte.observe(m_gateway.parts().clock.now() - m_request.arrival,
+    m_gateway.metrics().firstByte.observe(m_gateway.dependencies().clock.now() - m_request.arrival,
                                           m_request.labels());
     co_await m_exchange.respond(std::move(response));
     co_return AttemptEnd::Answered;
@@ -433,18 +439,18 @@
 
 void RequestRelay::learnFirstToken(const UpstreamLoad &load)
 {
-    const auto now = m_gateway.parts().clock.now();
+    const auto now = m_gateway.dependencies().clock.now();
     if (!m_progress.firstByte) {
         m_progress.firstByte = now;
         m_gateway.metrics().firstByte.observe(now - m_request.arrival, m_request.labels());
     }
     if (!m_plan->engine)
         return;
-    m_plan->upstream->noteKept(m_request.parts);
+    m_plan->upstream->noteCached(m_request.parts);
     if (m_gateway.onPartsRead)
         m_gateway.onPartsRead(*m_plan->upstream, m_request.parts);
-    if (auto *store = partStoreOf(m_gateway, *m_plan); store && m_plan->isSaving) {
-        const auto stored = PartStore::storedParts(m_request.parts, m_plan->weights);
+    if (auto *store = kvCacheStoreOf(m_gateway, *m_plan); store && m_plan->isSaving) {
+        const auto stored = KvCacheStore::storedParts(m_request.parts, m_plan->weights);
         store->noteStored(stored);
         if (m_gateway.onPartsStored)
             m_gateway.onPartsStored(*store, stored);
@@ -541,7 +547,7 @@
 
 milliseconds RequestRelay::left() const
 {
-    return m_request.left(m_gateway.parts().clock.now());
+    return m_request.left(m_gateway.dependencies().clock.now());
 }
 
 } // namespace Gateway
--- a/Libraries/LibGateway/SiblingExchange.cpp
+++ b/Libraries/LibGateway/SiblingExchange.cpp
@@ -46,7 +46,7 @@
     return UpstreamFleet::hashOf(upstream.report().id);
 }
 
-void add(OthersLoad &sum, const OthersLoad &load)
+void add(SiblingLoad &sum, const SiblingLoad &load)
 {
     sum.waitingTokens.all += load.waitingTokens.all;
     sum.waitingTokens.urgent += load.waitingTokens.urgent;
@@ -66,8 +66,8 @@
     return entries;
 }
 
-template <typename Parts>
-std::vector<Wire::KeptPart> wireParts(const Parts &parts)
+template <typename PartRange>
+std::vector<Wire::KeptPart> wireParts(const PartRange &parts)
 {
     std::vector<Wire::KeptPart> entries;
     entries.reserve(parts.size());
@@ -78,8 +78,8 @@
 
 } // namespace
 
-SiblingExchange::SiblingExchange(asio::io_context &context, Parts parts)
-    : m_parts(parts)
+SiblingExchange::SiblingExchange(asio::io_context &context, Dependencies dependencies)
+    : m_dependencies(dependencies)
     , m_socket(context)
     , m_urgentTimer(context)
     , m_life(random64())
@@ -87,7 +87,7 @@
 
 void SiblingExchange::open()
 {
-    const auto &self = m_parts.members.self().endpoint;
+    const auto &self = m_dependencies.members.self().endpoint;
     const asio::ip::udp::endpoint local(self.address(), self.port());
     try {
         m_socket.open(local.protocol());
@@ -101,7 +101,7 @@
 
 std::chrono::milliseconds SiblingExchange::interval() const
 {
-    const auto &members = m_parts.members;
+    const auto &members = m_dependencies.members;
     const auto told = members.isLarge() ? members.inDataCentre().size() + 1 : members.count();
     return std::max<std::chrono::milliseconds>(LeastInterval, told * IntervalPerSibling);
 }
@@ -110,25 +110,25 @@
 {
     for (;;) {
         co_await sleepFor(interval());
-        m_parts.members.dropLapsed();
+        m_dependencies.members.dropLapsed();
         dropSilent();
-        if (!m_parts.members.isLarge()) {
+        if (!m_dependencies.members.isLarge()) {
             sendTo(allMembers(), encode());
             continue;
         }
-        const auto nearby = m_parts.members.inDataCentre();
+        const auto nearby = m_dependencies.members.inDataCentre();
         sendTo(nearby, encode());
-        if (!m_parts.members.isHub())
+        if (!m_dependencies.members.isHub())
             continue;
         sendTo(otherHubs(), encodeDataCentre());
-        sendTo(nearby, encodeElsewhere());
+        sendTo(nearby, encodeRemoteSum());
     }
 }
 
 std::vector<FleetMember> SiblingExchange::allMembers() const
 {
     std::vector<FleetMember> members;
-    for (const auto &[instance, sibling] : m_parts.members.siblings())
+    for (const auto &[instance, sibling] : m_dependencies.members.siblings())
         members.push_back(sibling.member);
     return members;
 }
@@ -136,7 +136,7 @@
 std::vector<FleetMember> SiblingExchange::otherHubs() const
 {
     std::vector<FleetMember> hubs;
-    for (auto &[dataCentre, members] : m_parts.members.elsewhere()) {
+    for (auto &[dataCentre, members] : m_dependencies.members.elsewhere()) {
         const auto it = m_sources.find(DataCentreSource + dataCentre);
         if (it != m_sources.end() && !it->second.isSilent) {
             hubs.push_back(it->second.sender);
@@ -186,17 +186,18 @@
     }
 }
 
-void SiblingExchange::tellParts(const Upstream &engine, std::span<const PromptPart> parts)
+void SiblingExchange::publishParts(const Upstream &engine, std::span<const PromptPart> parts)
 {
     queueParts(upstreamHash(engine), parts);
 }
 
-void SiblingExchange::tellStored(const PartStore &store, std::span<const PromptPart> parts)
+void SiblingExchange::publishStoredParts(const KvCacheStore &store,
+                                         std::span<const PromptPart> parts)
 {
     queueParts(store.holder(), parts);
 }
 
-void SiblingExchange::tellStoreLife(std::uint64_t holder, std::uint64_t epoch)
+void SiblingExchange::publishStoreEpoch(std::uint64_t holder, std::uint64_t epoch)
 {
     m_storeLives[holder] = epoch;
 }
@@ -216,19 +217,19 @@
         queue.push_back(part);
 }
 
-void SiblingExchange::tellHold(const Upstream &engine, std::chrono::milliseconds time)
+void SiblingExchange::publishPause(const Upstream &engine, std::chrono::milliseconds time)
 {
     queueNews({{{upstreamHash(engine), time}}, {}, {}});
 }
 
-void SiblingExchange::tellUnreachable(const Upstream &upstream)
+void SiblingExchange::publishUnreachable(const Upstream &upstream)
 {
     m_urgentNews.unreachable.push_back(upstreamHash(upstream));
     m_urgentTimer.cancel();
 }
 
-void SiblingExchange::tellWeights(const Upstream &engine, const std::string &model,
-                                  std::uint64_t version)
+void SiblingExchange::publishWeights(const Upstream &engine, const std::string &model,
+                                     std::uint64_t version)
 {
     queueNews({{}, {{upstreamHash(engine), Core::hash64(model), version}}, {}});
 }
@@ -250,7 +251,7 @@
     for (const auto &[holder, epoch] : std::exchange(m_storeLives, {}))
         stores.emplace_back(holder, epoch);
     const auto [holds, weights] = wireNews(std::exchange(m_news, {}));
-    const auto &self = m_parts.members.self();
+    const auto &self = m_dependencies.members.self();
     flatbuffers::FlatBufferBuilder builder;
     builder.Finish(Wire::CreateSiblingReportDirect(
         builder, self.instance.value().c_str(), ++m_number, m_life, &loads, &parts, &weights,
@@ -261,22 +262,22 @@
 
 std::string SiblingExchange::encodeDataCentre()
 {
-    auto loads = sumOf([](const Source &it) { return !it.isDataCentre && !it.isElsewhere; });
+    auto loads = sumOf([](const Source &it) { return !it.isDataCentre && !it.isRemote; });
     for (const auto &[upstream, load] : ownLoads())
         add(loads[upstream], load);
     return encodeSum(loads, std::exchange(m_dataCentreParts, {}), Wire::Scope::DataCentre);
 }
 
-std::string SiblingExchange::encodeElsewhere()
+std::string SiblingExchange::encodeRemoteSum()
 {
     return encodeSum(sumOf([](const Source &it) { return it.isDataCentre; }),
-                     std::exchange(m_elsewhereParts, {}), Wire::Scope::Elsewhere);
+                     std::exchange(m_remoteParts, {}), Wire::Scope::Elsewhere);
 }
 
 std::string SiblingExchange::encodeSum(const Loads &loads, const PartQueue &parts,
                                        Wire::Scope scope)
 {
-    const auto &self = m_parts.members.self();
+    const auto &self = m_dependencies.members.self();
     const auto sums = wireLoads(loads);
     const auto kept = wireParts(parts);
     flatbuffers::FlatBufferBuilder builder;
@@ -290,7 +291,7 @@
 SiblingExchange::Loads SiblingExchange::ownLoads() const
 {
     Loads loads;
-    for (const auto &[id, upstream] : m_parts.fleet.all()) {
+    for (const auto &[id, upstream] : m_dependencies.fleet.all()) {
         if (upstream->inFlight() > 0)
             loads[upstreamHash(*upstream)] = {upstream->waitingTokens(), upstream->inFlight(),
                                               upstream->memoryTokens()};
@@ -304,9 +305,9 @@
     const auto [holds, weights] = wireNews(news);
     flatbuffers::FlatBufferBuilder builder;
     builder.Finish(Wire::CreateSiblingReportDirect(
-        builder, m_parts.members.self().instance.value().c_str(), ++m_number, m_life, nullptr,
-        nullptr, &weights, &holds, nullptr, nullptr, nullptr, true, Wire::Scope::Instance, 0,
-        &news.unreachable));
+        builder, m_dependencies.members.self().instance.value().c_str(), ++m_number, m_life,
+        nullptr, nullptr, &weights, &holds, nullptr, nullptr, nullptr, true, Wire::Scope::Instance,
+        0, &news.unreachable));
     return {reinterpret_cast<const char *>(builder.GetBufferPointer()), builder.GetSize()};
 }
 
@@ -332,7 +333,8 @@
         return;
     }
     const auto *report = Wire::GetSiblingReport(bytes);
-    if (!report->instance() || report->instance()->str() == m_parts.members.self().instance.value())
+    if (!report->instance()
+        || report->instance()->str() == m_dependencies.members.self().instance.value())
         return;
     auto &sender = source(*report);
     noteMember(*report, sender);
@@ -340,7 +342,7 @@
     if (!report->is_urgent()) {
         if (sender.isSilent)
             Core::logEvent(Core::EventId::SiblingHeard, {{"sibling", report->instance()->str()}});
-        sender.heard = m_parts.clock.now();
+        sender.heard = m_dependencies.clock.now();
         sender.isSilent = false;
     }
     if (!noteReport(*report, sender))
@@ -363,7 +365,7 @@
         name = ElsewhereSource;
     auto &source = m_sources[name];
     source.isDataCentre = report.scope() == Wire::Scope::DataCentre;
-    source.isElsewhere = report.scope() == Wire::Scope::Elsewhere;
+    source.isRemote = report.scope() == Wire::Scope::Elsewhere;
     return source;
 }
 
@@ -379,7 +381,7 @@
     }
     source.sender = {Core::InstanceId(report.instance()->str()), report.data_centre()->str(),
                      endpoint.value(), report.link_megabits()};
-    m_parts.members.noteHeard(source.sender);
+    m_dependencies.members.noteHeard(source.sender);
 }
 
 bool SiblingExchange::noteReport(const Wire::SiblingReport &report, Source &source)
@@ -406,7 +408,7 @@
     if (!report.weights())
         return;
     for (const auto *entry : *report.weights()) {
-        const auto upstream = m_parts.fleet.findByHash(entry->upstream());
+        const auto upstream = m_dependencies.fleet.findByHash(entry->upstream());
         if (!upstream)
             continue;
         for (const auto &[model, version] : std::map(upstream->report().weights)) {
@@ -421,9 +423,9 @@
     if (!report.unreachable())
         return;
     for (const auto hash : *report.unreachable()) {
-        if (const auto upstream = m_parts.fleet.findByHash(hash))
-            upstream->noteUnreachable(report.instance()->str(), Upstream::UnreachableHold,
-                                      m_parts.clock.now());
+        if (const auto upstream = m_dependencies.fleet.findByHash(hash))
+            upstream->noteUnreachable(report.instance()->str(), Upstream::UnreachablePause,
+                                      m_dependencies.clock.now());
     }
 }
 
@@ -432,9 +434,9 @@
     if (!report.holds())
         return;
     for (const auto *hold : *report.holds()) {
-        if (const auto upstream = m_parts.fleet.findByHash(hold->upstream()))
-            upstream->holdUntil(m_parts.clock.now()
-                                + std::chrono::milliseconds(hold->milliseconds()));
+        if (const auto upstream = m_dependencies.fleet.findByHash(hold->upstream()))
+            upstream->pauseUntil(m_dependencies.clock.now()
+                                 + std::chrono::milliseconds(hold->milliseconds()));
     }
 }
 
@@ -442,20 +444,21 @@
 {
     if (report.stores()) {
         for (const auto *store : *report.stores())
-            m_parts.stores.noteAnswer(store->holder(), store->epoch(), m_parts.clock.now());
+            m_dependencies.stores.noteAnswer(store->holder(), store->epoch(),
+                                             m_dependencies.clock.now());
     }
     if (!report.parts())
         return;
     for (const auto *entry : *report.parts()) {
         const PromptPart part {entry->chain(), entry->tokens()};
-        if (const auto upstream = m_parts.fleet.findByHash(entry->holder()))
-            upstream->noteKept(std::span(&part, 1));
-        else if (auto *store = m_parts.stores.find(entry->holder()))
+        if (const auto upstream = m_dependencies.fleet.findByHash(entry->holder()))
+            upstream->noteCached(std::span(&part, 1));
+        else if (auto *store = m_dependencies.stores.find(entry->holder()))
             store->noteStored(std::span(&part, 1));
         if (report.scope() == Wire::Scope::Instance)
             push(m_dataCentreParts, {entry->holder(), part}, MostPartsPerSum);
         if (report.scope() == Wire::Scope::DataCentre)
-            push(m_elsewhereParts, {entry->holder(), part}, MostPartsPerSum);
+            push(m_remoteParts, {entry->holder(), part}, MostPartsPerSum);
     }
 }
 
@@ -479,16 +482,15 @@
         std::any_of(m_sources.begin(), m_sources.end(), [](const auto &item) {
             return item.second.isDataCentre && !item.second.isSilent;
         });
-    auto sums = sumOf([hearsDataCentres](const Source &source) {
-        return !source.isElsewhere || !hearsDataCentres;
-    });
-    for (const auto &[id, upstream] : m_parts.fleet.all())
-        upstream->setOthersLoad(sums[upstreamHash(*upstream)]);
+    auto sums = sumOf(
+        [hearsDataCentres](const Source &source) { return !source.isRemote || !hearsDataCentres; });
+    for (const auto &[id, upstream] : m_dependencies.fleet.all())
+        upstream->setSiblingLoad(sums[upstreamHash(*upstream)]);
 }
 
 void SiblingExchange::dropSilent()
 {
-    const auto now = m_parts.clock.now();
+    const auto now = m_dependencies.clock.now();
     for (auto &[name, source] : m_sources) {
         if (source.isSilent || now - source.heard < SilentIntervals * interval())
             continue;
@@ -498,9 +500,9 @@
         applySums();
     }
     // Only hubs empty them by passing them on.
-    if (!m_parts.members.isLarge() || !m_parts.members.isHub()) {
+    if (!m_dependencies.members.isLarge() || !m_dependencies.members.isHub()) {
         m_dataCentreParts.clear();
-        m_elsewhereParts.clear();
+        m_remoteParts.clear();
     }
 }
 
--- a/Libraries/LibGateway/UpstreamChooser.cpp
+++ b/Libraries/LibGateway/UpstreamChooser.cpp
@@ -18,7 +18,8 @@
 constexpr std::chrono::milliseconds OldWeightsGrace {1'000};
 // What the tokens that an engine has to read cost the others that wait for it.
 constexpr double SharedCost = 1.0;
-// The home engine is taken to keep this share of a session's parts, as others may have sent them.
+// The preferred engine is taken to keep this share of a session's parts, as others may have sent
+// them.
 constexpr double HomeCredit = 0.5;
 constexpr double FailureWeight = 20;
 // A fetch costs a call to the source; fewer tokens are read sooner.
@@ -38,18 +39,19 @@
 }
 
 /// The member that rendezvous hashing gives a session; null when there is none.
-std::shared_ptr<Upstream> homeOf(const UpstreamFleet::Members &candidates, std::uint64_t key)
+std::shared_ptr<Upstream> preferredUpstreamOf(const UpstreamFleet::Members &candidates,
+                                              std::uint64_t key)
 {
-    std::shared_ptr<Upstream> home;
+    std::shared_ptr<Upstream> preferred;
     std::uint64_t best = 0;
     for (const auto &candidate : candidates) {
         const auto rank = Core::hash64(candidate->report().id.value(), key);
-        if (!home || rank > best) {
-            home = candidate;
+        if (!preferred || rank > best) {
+            preferred = candidate;
             best = rank;
         }
     }
-    return home;
+    return preferred;
 }
 
 /// The engine that keeps the most of the prompt among those with the same weights.
@@ -69,7 +71,7 @@
         if (member->isGone() || member->failureShare(limits.now) > MostSourceFailures)
             continue;
         auto &holder = holders[member->weights(demand.model)];
-        const auto tokens = member->memory().keptTokens(demand.parts);
+        const auto tokens = member->memory().cachedTokens(demand.parts);
         const bool isBetter = tokens > holder.tokens
                               || (tokens == holder.tokens && holder.engine && tokens > 0
                                   && member->inFlight() < holder.engine->inFlight());
@@ -94,8 +96,9 @@
 {
     EngineChoice choice;
     choice.upstream = engine;
-    choice.keptTokens = std::min(engine->memory().keptTokens(demand.parts), demand.promptTokens);
-    choice.readyTokens = choice.keptTokens;
+    choice.cachedTokens =
+        std::min(engine->memory().cachedTokens(demand.parts), demand.promptTokens);
+    choice.readyTokens = choice.cachedTokens;
     Milliseconds fetch {0};
     // Engines forget what the store still holds, so the store goes first where both have it.
     const auto stored =
@@ -104,11 +107,11 @@
     const auto most = std::min(std::max(stored, holder.tokens), demand.promptTokens);
     const bool hasSource = isFromStore || (holder.engine && holder.engine != engine);
     if (demand.fetchTokensPerMillisecond > 0 && hasSource
-        && most > choice.keptTokens + LeastFetchTokens) {
+        && most > choice.cachedTokens + LeastFetchTokens) {
         choice.isFromStore = isFromStore;
         choice.source = isFromStore ? nullptr : holder.engine;
         choice.readyTokens = most;
-        fetch = Milliseconds((most - choice.keptTokens) / demand.fetchTokensPerMillisecond);
+        fetch = Milliseconds((most - choice.cachedTokens) / demand.fetchTokensPerMillisecond);
     }
     const auto tokens =
         engine->tokensBefore(demand.isUrgent) + demand.promptTokens - choice.readyTokens;
@@ -120,25 +123,25 @@
 /// Names a source that may keep the session's parts where none is known to. The expected time does
 /// not count on it.
 void guessSource(EngineChoice &choice, const EngineDemand &demand, const ChoiceLimits &limits,
-                 const std::shared_ptr<Upstream> &home)
+                 const std::shared_ptr<Upstream> &preferred)
 {
     const bool isKnown = choice.source || choice.isFromStore;
     if (isKnown || demand.fetchTokensPerMillisecond <= 0
-        || demand.sharedTokens <= choice.keptTokens + LeastFetchTokens)
+        || demand.sharedTokens <= choice.cachedTokens + LeastFetchTokens)
         return;
-    const bool isElsewhere =
-        home && home != choice.upstream
-        && home->weights(demand.model) == choice.upstream->weights(demand.model)
-        && home->failureShare(limits.now) <= MostSourceFailures;
-    if (isElsewhere)
-        choice.source = home;
-    else if (demand.store && demand.sharedTokens >= PartStore::LeastTokens)
+    const bool isRemote =
+        preferred && preferred != choice.upstream
+        && preferred->weights(demand.model) == choice.upstream->weights(demand.model)
+        && preferred->failureShare(limits.now) <= MostSourceFailures;
+    if (isRemote)
+        choice.source = preferred;
+    else if (demand.store && demand.sharedTokens >= KvCacheStore::LeastTokens)
         choice.isFromStore = true;
     choice.isGuess = choice.source || choice.isFromStore;
 }
 
 Milliseconds cost(const EngineChoice &choice, const EngineModel &model, const EngineDemand &demand,
-                  const ChoiceLimits &limits, bool isHome)
+                  const ChoiceLimits &limits, bool isPreferred)
 {
     const auto &upstream = *choice.upstream;
     const double rate = model.tokensPerMillisecond();
@@ -151,7 +154,7 @@
         sum += (running - demand.slots + 1.0) * FullSlotCost;
     if (isOutdated(upstream, demand, OldWeightsGrace, limits.now))
         sum += OldWeightsCost;
-    if (isHome && choice.readyTokens < demand.sharedTokens)
+    if (isPreferred && choice.readyTokens < demand.sharedTokens)
         sum -= HomeCredit * Milliseconds((demand.sharedTokens - choice.readyTokens) / rate);
     return sum;
 }
@@ -160,8 +163,8 @@
 
 bool takesRequests(const Upstream &upstream, const ChoiceLimits &limits)
 {
-    return !upstream.isGone() && !upstream.report().isDraining && upstream.heldUntil() <= limits.now
-           && upstream.inFlight() < limits.mostInFlight
+    return !upstream.isGone() && !upstream.report().isDraining
+           && upstream.pausedUntil() <= limits.now && upstream.inFlight() < limits.maxInFlight
            && !limits.excluded.contains(upstream.report().id);
 }
 
@@ -175,21 +178,21 @@
             && !isOutdated(*member, demand, demand.weightsPatience, limits.now))
             candidates.push_back(member);
     }
-    const auto home = homeOf(candidates, demand.homeKey);
+    const auto preferred = preferredUpstreamOf(candidates, demand.affinityKey);
     auto holders = findHolders(members, demand, limits);
     std::optional<EngineChoice> best;
     Milliseconds bestCost {0};
     for (const auto &candidate : candidates) {
         const auto &holder = holders[candidate->weights(demand.model)];
         auto choice = expectedAt(candidate, model, demand, holder);
-        const auto sum = cost(choice, model, demand, limits, candidate == home);
+        const auto sum = cost(choice, model, demand, limits, candidate == preferred);
         if (!best || sum < bestCost) {
             best = std::move(choice);
             bestCost = sum;
         }
     }
     if (best)
-        guessSource(*best, demand, limits, home);
+        guessSource(*best, demand, limits, preferred);
     return best;
 }
 
--- a/Libraries/LibGateway/UpstreamChooser.h
+++ b/Libraries/LibGateway/UpstreamChooser.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <LibGateway/EngineModel.h>
-#include <LibGateway/PartStore.h>
-#include <LibGateway/PrefixMemory.h>
+#include <LibGateway/KvCacheStore.h>
+#include <LibGateway/PrefixCacheEstimate.h>
 #include <LibGateway/UpstreamFleet.h>
 #include <LibGateway/WeightsTargets.h>
 
@@ -17,7 +17,7 @@
 struct ChoiceLimits
 {
     /// Requests that this instance may have at one upstream at once.
-    unsigned mostInFlight = 1;
+    unsigned maxInFlight = 1;
     /// Upstreams that already failed the request.
     std::set<Core::UpstreamId> excluded;
     Core::Clock::Monotonic now;
@@ -29,7 +29,7 @@
     std::span<const PromptPart> parts;
     unsigned promptTokens = 0;
     /// Of the last part that other requests share; equal for all requests of one session.
-    std::uint64_t homeKey = 0;
+    std::uint64_t affinityKey = 0;
     unsigned sharedTokens = 0;
     /// Whether engines read it before what is less urgent.
     bool isUrgent = false;
@@ -43,7 +43,7 @@
     std::uint64_t memoryTokens = 0;
     std::uint64_t memoryCapacity = 0;
     /// The store for the session's parts; null when there is none that answers.
-    const PartStore *store = nullptr;
+    const KvCacheStore *store = nullptr;
     /// How fast engines pass cached parts to each other; zero when they cannot.
     double fetchTokensPerMillisecond = 0;
 };
@@ -53,7 +53,7 @@
 {
     std::shared_ptr<Upstream> upstream;
     /// Leading tokens of the prompt that it is believed to keep.
-    unsigned keptTokens = 0;
+    unsigned cachedTokens = 0;
     /// Another engine with the same weights that keeps more, or may; null when fetching does not
     /// pay.
     std::shared_ptr<Upstream> source;
@@ -68,9 +68,10 @@
 
 /// Chooses the engine with the least cost: the expected time to the first token, and the time that
 /// reading the prompt there takes from others. Answers load that comes in bursts while shared parts
-/// lie at few engines; sessions keep to a home engine that all instances agree on without talking.
-/// Where nobody is known to keep a session's parts, the engine is told to ask its home engine or
-/// the store: a fetch in vain costs a millisecond, and other instances may have had the parts read.
+/// lie at few engines; sessions keep to a preferred engine that all instances agree on without
+/// talking. Where nobody is known to keep a session's parts, the engine is told to ask its
+/// preferred engine or the store: a fetch in vain costs a millisecond, and other instances may have
+/// had the parts read.
 std::optional<EngineChoice> chooseEngine(const UpstreamFleet::Members &members,
                                          const EngineModel &model, const EngineDemand &demand,
                                          const ChoiceLimits &limits);
--- a/Libraries/LibRouter/CompletionRelay.h
+++ b/Libraries/LibRouter/CompletionRelay.h
@@ -59,11 +59,11 @@
     CallContext m_context;
     CompletionCall m_call;
     const Configuration::Model &m_model;
-    Placement::PromptPieces m_pieces;
+    Placement::PromptBlocks m_blocks;
     std::unique_ptr<AnswerSink> m_sink;
     AnswerProgress m_progress;
     std::vector<Placement::UpstreamSlot> m_tried;
-    /// The last failure, with the fate of all attempts so far.
+    /// The last failure, with the status of all attempts so far.
     std::optional<Core::Error> m_lastError;
     Admission::Grant m_grant;
     bool m_isSuspect = false;
--- a/Tests/LibGateway/TestPlacement.cpp
+++ b/Tests/LibGateway/TestPlacement.cpp
@@ -29,11 +29,11 @@
         demand.parts = parts;
         demand.promptTokens = 11'000;
         demand.sharedTokens = 5'000;
-        demand.homeKey = 12;
+        demand.affinityKey = 12;
         demand.model = "m";
         demand.slots = 32;
         demand.fetchTokensPerMillisecond = 500;
-        limits.mostInFlight = 32;
+        limits.maxInFlight = 32;
         limits.now = clock.now();
         for (int n = 0; n < 6; ++n)
             add("w" + std::to_string(n));
@@ -71,21 +71,21 @@
     Fixture one;
     Fixture other;
     CHECK(one.chosen() == other.chosen());
-    std::map<std::string, int> homes;
+    std::map<std::string, int> preferredUpstreams;
     for (std::uint64_t session = 0; session < 300; ++session) {
-        one.demand.homeKey = session;
-        ++homes[one.chosen()];
+        one.demand.affinityKey = session;
+        ++preferredUpstreams[one.chosen()];
     }
-    CHECK(homes.size() == 6);
+    CHECK(preferredUpstreams.size() == 6);
 }
 
 TEST_CASE("an engine that keeps the shared parts is preferred, until it has much more to read")
 {
     Fixture fixture;
     auto &keeper = fixture.engine(fixture.chosen() == "w0" ? "w1" : "w0");
-    keeper.noteKept(std::span(fixture.parts).first(2));
+    keeper.noteCached(std::span(fixture.parts).first(2));
     CHECK(fixture.chosen() == keeper.report().id.value());
-    CHECK(fixture.choose()->keptTokens == 5'000);
+    CHECK(fixture.choose()->cachedTokens == 5'000);
     keeper.noteSent(60'000, true);
     const auto elsewhere = fixture.choose();
     CHECK(elsewhere->upstream->report().id != keeper.report().id);
@@ -97,18 +97,18 @@
 TEST_CASE("parts that nobody is known to keep are asked for at the session's home, or the store")
 {
     Fixture fixture;
-    const auto home = fixture.chosen();
-    // The home itself has nobody else to ask while there is no store.
+    const auto preferred = fixture.chosen();
+    // The preferred engine itself has nobody else to ask while there is no store.
     CHECK_FALSE(fixture.choose()->source);
     CHECK_FALSE(fixture.choose()->isFromStore);
-    Gateway::PartStore store(Http::parseEndpoint("127.0.0.1:9").value());
+    Gateway::KvCacheStore store(Http::parseEndpoint("127.0.0.1:9").value());
     store.noteAnswer(1);
     fixture.demand.store = &store;
     CHECK(fixture.choose()->isFromStore);
-    fixture.engine(home).noteSent(60'000, true);
+    fixture.engine(preferred).noteSent(60'000, true);
     const auto elsewhere = fixture.choose();
     REQUIRE(elsewhere->source);
-    CHECK(elsewhere->source->report().id.value() == home);
+    CHECK(elsewhere->source->report().id.value() == preferred);
     CHECK_FALSE(elsewhere->isFromStore);
     // The guess is no reason to expect less reading.
     CHECK(elsewhere->readyTokens == 0);
@@ -120,15 +120,15 @@
 TEST_CASE("the home is not asked for parts when it has other weights or fails its requests")
 {
     Fixture fixture;
-    const auto home = fixture.chosen();
-    fixture.engine(home).noteSent(60'000, true);
+    const auto preferred = fixture.chosen();
+    fixture.engine(preferred).noteSent(60'000, true);
     REQUIRE(fixture.choose()->source);
     for (int n = 0; n < 8; ++n)
-        fixture.engine(home).noteOutcome(false, fixture.limits.now);
+        fixture.engine(preferred).noteOutcome(false, fixture.limits.now);
     CHECK_FALSE(fixture.choose()->source);
     Fixture other;
-    other.engine(home).noteSent(60'000, true);
-    other.engine(home).noteWeights("m", 2);
+    other.engine(preferred).noteSent(60'000, true);
+    other.engine(preferred).noteWeights("m", 2);
     CHECK_FALSE(other.choose()->source);
 }
 
@@ -136,7 +136,7 @@
 {
     Fixture fixture;
     auto &keeper = fixture.engine("w0");
-    keeper.noteKept(std::span(fixture.parts).first(2));
+    keeper.noteCached(std::span(fixture.parts).first(2));
     fixture.limits.excluded.insert(keeper.report().id);
     CHECK(fixture.choose()->source);
     for (int n = 0; n < 8; ++n)
@@ -144,7 +144,7 @@
     CHECK_FALSE(fixture.choose()->source);
     Fixture other;
     auto &newer = other.add("new", 2);
-    newer.noteKept(std::span(other.parts).first(2));
+    newer.noteCached(std::span(other.parts).first(2));
     other.limits.excluded.insert(newer.report().id);
     CHECK_FALSE(other.choose()->source);
 }
@@ -154,11 +154,11 @@
     Fixture fixture;
     const auto first = fixture.chosen();
     auto &upstream = fixture.engine(first);
-    upstream.holdUntil(fixture.limits.now + 1s);
+    upstream.pauseUntil(fixture.limits.now + 1s);
     CHECK(fixture.chosen() != first);
-    upstream.holdUntil(fixture.limits.now);
+    upstream.pauseUntil(fixture.limits.now);
     CHECK(fixture.chosen() == first);
-    fixture.limits.mostInFlight = 1;
+    fixture.limits.maxInFlight = 1;
     upstream.noteSent(0, false);
     CHECK(fixture.chosen() != first);
     upstream.noteEnd();
@@ -192,7 +192,7 @@
 {
     Fixture fixture;
     const auto first = fixture.chosen();
-    fixture.engine(first).setOthersLoad({{80'000, 0}, 10, 0});
+    fixture.engine(first).setSiblingLoad({{80'000, 0}, 10, 0});
     CHECK(fixture.chosen() != first);
 }
 
@@ -220,7 +220,7 @@
     for (const auto &[id, count] : counts)
         CHECK(count == 10);
     fixture.engine("w3").noteOutcome(false, fixture.limits.now);
-    fixture.limits.mostInFlight = 100;
+    fixture.limits.maxInFlight = 100;
     for (int n = 0; n < 20; ++n)
         CHECK(chooseService(fixture.fleet.members("llm"), fixture.limits, random)->report().id
               != Core::UpstreamId("w3"));
--- a/Utilities/jujubebench/AdmissionRun.cpp
+++ b/Utilities/jujubebench/AdmissionRun.cpp
@@ -94,7 +94,7 @@
 {
     std::vector<Accounting::OwnedShare> shares;
     for (std::size_t n = 0; n < m_setup.ownedShares.size(); ++n) {
-        const double millionths = m_setup.ownedShares[n] * Accounting::WholeShare;
+        const double millionths = m_setup.ownedShares[n] * Accounting::FullShare;
         shares.push_back({teamName(n), static_cast<std::uint64_t>(millionths)});
     }
     Accounting::UsageLedger ledger([shares](const auto &, auto) { return shares; }, AccountStretch);
@@ -236,7 +236,7 @@
     ++m_runningByTeam[it.team];
     m_instances[it.instance].meter->noteStarted(groupName(), teamName(it.team));
     m_engines[engine]->submit({.id = id,
-                               .pieces = {},
+                               .blocks = {},
                                .tailTokens = it.promptTokens,
                                .outputTokens = it.outputTokens,
                                .priority = grant.enginePriority});
