--- a/Libraries/LibGateway/AcceptedRequest.cpp
+++ b/Libraries/LibGateway/AcceptedRequest.cpp
@@ -60,15 +60,15 @@
         return Refusal {Core::ErrorKind::PoisonRequest, "broke several upstreams", {}};
     deadline = arrival + std::min(caller.callerTimeout.value_or(route->timeout), route->timeout);
     parts.clear();
-    std::uint64_t chain = Core::hash64(cacheScope(), Core::hash64(caller.model));
+    std::uint64_t prefixHash = Core::hash64(cacheScope(), Core::hash64(caller.model));
     for (const auto &part : caller.parts) {
-        chain = Core::hash64(part.id, chain);
-        parts.push_back({chain, part.tokens});
+        prefixHash = Core::hash64(part.id, prefixHash);
+        parts.push_back({prefixHash, part.tokens});
     }
     return std::nullopt;
 }
 
-milliseconds AcceptedRequest::left(Core::Clock::Monotonic now) const
+milliseconds AcceptedRequest::remainingTime(Core::Clock::Monotonic now) const
 {
     return std::max(0ms, duration_cast<milliseconds>(deadline - now));
 }
--- a/Libraries/LibGateway/AcceptedRequest.h
+++ b/Libraries/LibGateway/AcceptedRequest.h
@@ -46,7 +46,7 @@
     /// or not known to be.
     std::optional<Refusal> authorize(Gateway &gateway, const Http::Request &request);
 
-    std::chrono::milliseconds left(Core::Clock::Monotonic now) const;
+    std::chrono::milliseconds remainingTime(Core::Clock::Monotonic now) const;
     /// Requests share cached prompt parts only under the same name.
     std::string cacheScope() const;
     /// Tokens of an engine's memory that the request is expected to hold.
--- a/Libraries/LibGateway/CacheSnapshot.cpp
+++ b/Libraries/LibGateway/CacheSnapshot.cpp
@@ -17,7 +17,7 @@
 
 std::uint64_t stateOf(const Upstream &engine)
 {
-    auto state = std::to_string(engine.report().born.count());
+    auto state = std::to_string(engine.report().startTime.count());
     for (const auto &[model, version] : engine.report().weights)
         state += '/' + model + '=' + std::to_string(version);
     return Core::hash64(state);
@@ -30,7 +30,7 @@
     std::vector<Wire::PartEntry> entries;
     entries.reserve(parts.size());
     for (const auto &part : parts)
-        entries.emplace_back(part.chain, part.tokens);
+        entries.emplace_back(part.prefixHash, part.tokens);
     return Wire::CreateHolderBeliefsDirect(builder, holder, state, &entries);
 }
 
@@ -54,13 +54,13 @@
     flatbuffers::FlatBufferBuilder builder;
     std::vector<flatbuffers::Offset<Wire::HolderBeliefs>> holders;
     for (const auto &[id, engine] : fleet.all()) {
-        const auto parts = engine->memory().newest(share);
+        const auto parts = engine->prefixCache().newest(share);
         if (!parts.empty())
             holders.push_back(
                 encodeHolder(builder, UpstreamFleet::hashOf(id), stateOf(*engine), parts));
     }
     for (const auto &[holder, store] : stores.all()) {
-        const auto parts = store.memory().newest(share);
+        const auto parts = store.prefixCache().newest(share);
         if (!parts.empty() && store.epoch())
             holders.push_back(encodeHolder(builder, holder, *store.epoch(), parts));
     }
--- a/Libraries/LibGateway/EngineControl.h
+++ b/Libraries/LibGateway/EngineControl.h
@@ -35,7 +35,7 @@
 
 enum class OrderOutcome {
     Accepted,
-    AlreadyHolds,
+    AlreadyInForce,
     /// Another order is in progress, or the expected number of orders differs.
     Conflict,
     /// The engine has seen a higher fencing token, or is another upstream.
--- a/Libraries/LibGateway/FleetJournal.cpp
+++ b/Libraries/LibGateway/FleetJournal.cpp
@@ -154,7 +154,7 @@
 std::string FleetJournal::announcement() const
 {
     flatbuffers::FlatBufferBuilder builder;
-    const auto poison = m_poison.poison(m_clock.now());
+    const auto poison = m_poison.poisonDigests(m_clock.now());
     const auto &self = m_members.self();
     const auto member = Wire::CreateMemberDirect(
         builder, self.instance.value().c_str(), self.dataCentre.c_str(),
--- a/Libraries/LibGateway/FleetWatcher.cpp
+++ b/Libraries/LibGateway/FleetWatcher.cpp
@@ -123,7 +123,8 @@
         return;
     }
     if (auto *target = std::get_if<WeightsTarget>(&decoded.value())) {
-        if (m_dependencies.weights.name(target->model, target->version, m_dependencies.clock.now()))
+        if (m_dependencies.weights.addTarget(target->model, target->version,
+                                             m_dependencies.clock.now()))
             Core::logEvent(
                 Core::EventId::WeightsNamed,
                 {{"model", target->model}, {"version", std::to_string(target->version)}});
--- a/Libraries/LibGateway/Forward.h
+++ b/Libraries/LibGateway/Forward.h
@@ -14,7 +14,7 @@
 class RetryBudgetShare;
 class Upstream;
 class UpstreamFleet;
-class WeightRoller;
+class WeightsRollout;
 struct CallerRequest;
 struct GatewayConfiguration;
 struct Route;
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -31,7 +31,7 @@
 {
     // Without the members no request could be sent again after a failure.
     return !m_isDraining && m_dependencies.configuration.current() && knowsKeys()
-           && !m_dependencies.fleet.all().empty() && m_instances;
+           && !m_dependencies.fleet.all().empty() && m_instanceCount;
 }
 
 } // namespace Gateway
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -50,9 +50,9 @@
     /// Whether this instance should get new callers.
     bool isReady() const;
     /// Sets how many instances share the retry budgets and upstreams' connections.
-    void setInstances(unsigned count) { m_instances = count; }
+    void setInstanceCount(unsigned count) { m_instanceCount = count; }
     /// The number of instances; none until the members are known.
-    std::optional<unsigned> instances() const { return m_instances; }
+    std::optional<unsigned> instanceCount() const { return m_instanceCount; }
     /// From now on this instance is not ready, but serves on.
     void beginDrain() { m_isDraining = true; }
     /// From now on new requests are refused, since they could not be finished.
@@ -68,17 +68,17 @@
     std::minstd_rand &random() { return m_random; }
 
     /// Called with the digest of a request under which an upstream broke.
-    std::function<void(std::uint64_t)> onBreak;
+    std::function<void(std::uint64_t)> onUpstreamFailure;
     /// Called when an engine has read a prompt's parts.
     std::function<void(const Upstream &, std::span<const PromptPart>)> onPartsRead;
     /// Called when an engine has saved a prompt's parts, as KvCacheStore::storedParts() gives them.
     std::function<void(const KvCacheStore &, std::span<const PromptPart>)> onPartsStored;
     /// Called when an upstream is to get nothing for a while.
-    std::function<void(const Upstream &, std::chrono::milliseconds)> onHold;
+    std::function<void(const Upstream &, std::chrono::milliseconds)> onPause;
     /// Called when an upstream could not be reached.
     std::function<void(const Upstream &)> onUnreachable;
     /// Called when an engine refused a request for having other weights than were known.
-    std::function<void(const std::shared_ptr<Upstream> &)> onOtherWeights;
+    std::function<void(const std::shared_ptr<Upstream> &)> onWeightsMismatch;
     /// Called when an answer showed newer weights than were known.
     std::function<void(const Upstream &, const std::string &model, std::uint64_t version)>
         onWeightsSeen;
@@ -91,7 +91,7 @@
     std::map<std::string, EngineModel> m_models;
     std::map<std::string, RetryBudgetShare> m_retries;
     std::minstd_rand m_random;
-    std::optional<unsigned> m_instances;
+    std::optional<unsigned> m_instanceCount;
     bool m_isDraining = false;
     bool m_isRefusing = false;
 };
--- a/Libraries/LibGateway/GatewayDaemon.cpp
+++ b/Libraries/LibGateway/GatewayDaemon.cpp
@@ -52,8 +52,8 @@
     , m_siblings(m_threads.at(0), {m_interfaces.clock, m_members, m_fleet, m_gateway.stores()})
     , m_storeMonitor({m_gateway.stores(), m_interfaces.engines, m_members, m_interfaces.clock})
     , m_cacheSnapshots({m_log, m_members, m_fleet, m_gateway.stores(), m_interfaces.clock})
-    , m_roller({m_journal, m_members, m_interfaces.engines, m_fleet, m_weights, m_interfaces.clock,
-                m_gateway.metrics(), m_settings.instance})
+    , m_weightsRollout({m_journal, m_members, m_interfaces.engines, m_fleet, m_weights,
+                        m_interfaces.clock, m_gateway.metrics(), m_settings.instance})
 {
     connectNews();
     addGauges();
@@ -108,7 +108,7 @@
     asio::co_spawn(context, m_siblings.sendUrgent(), asio::detached);
     asio::co_spawn(context, m_siblings.receive(), asio::detached);
     asio::co_spawn(context, m_cacheSnapshots.run(), asio::detached);
-    asio::co_spawn(context, m_roller.run(), asio::detached);
+    asio::co_spawn(context, m_weightsRollout.run(), asio::detached);
     asio::co_spawn(context, countInstances(), asio::detached);
     asio::co_spawn(context, m_storeMonitor.run(), asio::detached);
     asio::co_spawn(context, watchSettings(), asio::detached);
@@ -116,7 +116,9 @@
 
 void GatewayDaemon::connectNews()
 {
-    m_gateway.onBreak = [this](std::uint64_t digest) { m_journal.noteUpstreamFailure(digest); };
+    m_gateway.onUpstreamFailure = [this](std::uint64_t digest) {
+        m_journal.noteUpstreamFailure(digest);
+    };
     m_gateway.onPartsRead = [this](const Upstream &engine, std::span<const PromptPart> parts) {
         m_siblings.publishParts(engine, parts);
     };
@@ -129,15 +131,15 @@
     m_gateway.onUnreachable = [this](const Upstream &upstream) {
         m_siblings.publishUnreachable(upstream);
     };
-    m_gateway.onWeightsSeen =
-        m_roller.onWeights = [this](const auto &engine, const auto &model, std::uint64_t version) {
+    m_gateway.onWeightsSeen = m_weightsRollout.onWeightsSeen =
+        [this](const auto &engine, const auto &model, std::uint64_t version) {
             m_siblings.publishWeights(engine, model, version);
         };
-    m_gateway.onOtherWeights = [this](const std::shared_ptr<Upstream> &engine) {
-        asio::co_spawn(m_threads.at(0), m_roller.refresh(engine), asio::detached);
+    m_gateway.onWeightsMismatch = [this](const std::shared_ptr<Upstream> &engine) {
+        asio::co_spawn(m_threads.at(0), m_weightsRollout.refresh(engine), asio::detached);
     };
-    m_gateway.onHold =
-        m_roller.onHold = [this](const Upstream &engine, std::chrono::milliseconds time) {
+    m_gateway.onPause =
+        m_weightsRollout.onPause = [this](const Upstream &engine, std::chrono::milliseconds time) {
             m_siblings.publishPause(engine, time);
         };
 }
@@ -187,8 +189,8 @@
 {
     for (;;) {
         if (m_journal.hasRead())
-            m_gateway.setInstances(static_cast<unsigned>(m_members.count()));
-        co_await sleepFor(m_gateway.instances() ? CountPause : FirstCountPause);
+            m_gateway.setInstanceCount(static_cast<unsigned>(m_members.count()));
+        co_await sleepFor(m_gateway.instanceCount() ? CountPause : FirstCountPause);
     }
 }
 
--- a/Libraries/LibGateway/GatewayDaemon.h
+++ b/Libraries/LibGateway/GatewayDaemon.h
@@ -9,7 +9,7 @@
 #include <LibGateway/KvCacheStoreMonitor.h>
 #include <LibGateway/SharedLog.h>
 #include <LibGateway/SiblingExchange.h>
-#include <LibGateway/WeightRoller.h>
+#include <LibGateway/WeightsRollout.h>
 #include <LibHttp/Server.h>
 
 #include <boost/asio/signal_set.hpp>
@@ -83,7 +83,7 @@
     SiblingExchange m_siblings;
     KvCacheStoreMonitor m_storeMonitor;
     CacheSnapshotService m_cacheSnapshots;
-    WeightRoller m_roller;
+    WeightsRollout m_weightsRollout;
     std::unique_ptr<Http::Server> m_callers;
     std::unique_ptr<Http::Server> m_readiness;
     /// Where siblings ask for what this instance has read of the store's logs.
--- a/Libraries/LibGateway/KvCacheStore.cpp
+++ b/Libraries/LibGateway/KvCacheStore.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-std::uint64_t storedChain(std::uint64_t chain, std::uint64_t weights)
+std::uint64_t storedPrefixHash(std::uint64_t prefixHash, std::uint64_t weights)
 {
     const std::string_view bytes(reinterpret_cast<const char *>(&weights), sizeof(weights));
-    return Core::hash64(bytes, chain);
+    return Core::hash64(bytes, prefixHash);
 }
 
 } // namespace
@@ -29,7 +29,7 @@
 {
     const bool isNewLife = m_epoch && *m_epoch != epoch;
     if (isNewLife)
-        m_memory.clear();
+        m_prefixCache.clear();
     m_epoch = epoch;
     return !std::exchange(m_isAnswering, true) || isNewLife;
 }
@@ -41,7 +41,7 @@
 
 unsigned KvCacheStore::storedTokens(std::span<const PromptPart> parts, std::uint64_t weights) const
 {
-    return m_isAnswering ? m_memory.cachedTokens(storedParts(parts, weights)) : 0;
+    return m_isAnswering ? m_prefixCache.cachedTokens(storedParts(parts, weights)) : 0;
 }
 
 std::vector<PromptPart> KvCacheStore::storedParts(std::span<const PromptPart> parts,
@@ -49,7 +49,7 @@
 {
     std::vector<PromptPart> stored(parts.begin(), parts.end());
     for (auto &part : stored)
-        part.chain = storedChain(part.chain, weights);
+        part.prefixHash = storedPrefixHash(part.prefixHash, weights);
     return stored;
 }
 
--- a/Libraries/LibGateway/KvCacheStore.h
+++ b/Libraries/LibGateway/KvCacheStore.h
@@ -24,7 +24,7 @@
     static std::uint64_t holderOf(const Http::Endpoint &endpoint);
     std::uint64_t holder() const { return holderOf(m_endpoint); }
     const Http::Endpoint &endpoint() const { return m_endpoint; }
-    void setCapacity(std::uint64_t tokens) { m_memory.setCapacity(tokens); }
+    void setCapacity(std::uint64_t tokens) { m_prefixCache.setCapacity(tokens); }
     /// Whether it is known to answer; nothing is fetched from it or saved to it otherwise.
     bool isAnswering() const { return m_isAnswering; }
     /// The life that answered last; none before the first answer.
@@ -41,13 +41,13 @@
     /// The parts as the store tells them apart.
     static std::vector<PromptPart> storedParts(std::span<const PromptPart> parts,
                                                std::uint64_t weights);
-    const PrefixCacheEstimate &memory() const { return m_memory; }
+    const PrefixCacheEstimate &prefixCache() const { return m_prefixCache; }
     /// Notes that it holds parts, as storedParts() gives them.
-    void noteStored(std::span<const PromptPart> parts) { m_memory.noteUse(parts); }
+    void noteStored(std::span<const PromptPart> parts) { m_prefixCache.noteUse(parts); }
 
 private:
     Http::Endpoint m_endpoint;
-    PrefixCacheEstimate m_memory;
+    PrefixCacheEstimate m_prefixCache;
     std::optional<std::uint64_t> m_epoch;
     bool m_isAnswering = false;
 };
--- a/Libraries/LibGateway/PoisonRequestTable.cpp
+++ b/Libraries/LibGateway/PoisonRequestTable.cpp
@@ -32,7 +32,7 @@
     entry.isTold = true;
 }
 
-std::vector<std::uint64_t> PoisonRequestTable::poison(Core::Clock::Monotonic now) const
+std::vector<std::uint64_t> PoisonRequestTable::poisonDigests(Core::Clock::Monotonic now) const
 {
     std::vector<std::uint64_t> digests;
     for (const auto &[digest, entry] : m_entries) {
--- a/Libraries/LibGateway/PoisonRequestTable.h
+++ b/Libraries/LibGateway/PoisonRequestTable.h
@@ -23,7 +23,7 @@
     void notePoison(std::uint64_t digest, Core::Clock::Monotonic now);
     bool isPoison(std::uint64_t digest, Core::Clock::Monotonic now) const;
     /// The digests of poison requests whose upstream failures this instance heard of one by one.
-    std::vector<std::uint64_t> poison(Core::Clock::Monotonic now) const;
+    std::vector<std::uint64_t> poisonDigests(Core::Clock::Monotonic now) const;
     std::size_t size() const { return m_entries.size(); }
 
 private:
--- a/Libraries/LibGateway/PrefixCacheEstimate.cpp
+++ b/Libraries/LibGateway/PrefixCacheEstimate.cpp
@@ -17,7 +17,7 @@
 {
     unsigned kept = 0;
     for (const auto &part : parts) {
-        if (!m_parts.contains(part.chain))
+        if (!m_parts.contains(part.prefixHash))
             break;
         kept += part.tokens;
     }
@@ -28,18 +28,18 @@
 {
     // The last parts are touched first, so that a part never outlives one that it builds on.
     for (auto it = parts.rbegin(); it != parts.rend(); ++it) {
-        const auto known = m_parts.find(it->chain);
+        const auto known = m_parts.find(it->prefixHash);
         if (known != m_parts.end()) {
             m_order.splice(m_order.end(), m_order, known->second);
             continue;
         }
         m_order.push_back(*it);
-        m_parts[it->chain] = std::prev(m_order.end());
+        m_parts[it->prefixHash] = std::prev(m_order.end());
         m_tokens += it->tokens;
     }
     while (m_tokens > m_capacity && !m_order.empty()) {
         m_tokens -= m_order.front().tokens;
-        m_parts.erase(m_order.front().chain);
+        m_parts.erase(m_order.front().prefixHash);
         m_order.pop_front();
     }
 }
--- a/Libraries/LibGateway/PrefixCacheEstimate.h
+++ b/Libraries/LibGateway/PrefixCacheEstimate.h
@@ -8,11 +8,11 @@
 
 namespace Gateway {
 
-/// One part of a prompt. The chain identifies the part together with all before it and with whom
-/// it may be shared, so that equal chains mean equal cached memory.
+/// One part of a prompt. The prefix hash identifies the part together with all before it and with
+/// whom it may be shared, so that equal hashes mean equal cached memory.
 struct PromptPart
 {
-    std::uint64_t chain = 0;
+    std::uint64_t prefixHash = 0;
     unsigned tokens = 0;
 };
 
--- a/Libraries/LibGateway/RequestDialect.h
+++ b/Libraries/LibGateway/RequestDialect.h
@@ -41,7 +41,7 @@
 struct Dispatch
 {
     Core::UpstreamId upstream;
-    std::chrono::milliseconds left {0};
+    std::chrono::milliseconds remainingTime {0};
     std::string tenant;
     /// Requests share cached prompt parts only under the same name.
     std::string cacheScope;
--- a/Libraries/LibGateway/RequestLog.cpp
+++ b/Libraries/LibGateway/RequestLog.cpp
@@ -66,13 +66,14 @@
                 const RequestProgress &progress, std::string_view end, const std::string &reason)
 {
     gateway.metrics().attempts.add(1, request.labels(), std::string(end));
-    Core::logEvent(Core::EventId::AttemptFailed,
-                   {{"request", request.caller.attemptId},
-                    {"upstream", plan.upstream->report().id.value()},
-                    {"end", std::string(end)},
-                    {"reason", reason},
-                    {"send", std::to_string(progress.sends)},
-                    {"left_ms", milliseconds(request.left(gateway.dependencies().clock.now()))}});
+    Core::logEvent(
+        Core::EventId::AttemptFailed,
+        {{"request", request.caller.attemptId},
+         {"upstream", plan.upstream->report().id.value()},
+         {"end", std::string(end)},
+         {"reason", reason},
+         {"send", std::to_string(progress.sends)},
+         {"left_ms", milliseconds(request.remainingTime(gateway.dependencies().clock.now()))}});
 }
 
 } // namespace Gateway
--- a/Libraries/LibGateway/RequestPlan.cpp
+++ b/Libraries/LibGateway/RequestPlan.cpp
@@ -55,7 +55,7 @@
     demand.parts = request.parts;
     demand.promptTokens = request.promptTokens();
     if (request.parts.size() > 1)
-        demand.affinityKey = request.parts[request.parts.size() - 2].chain;
+        demand.affinityKey = request.parts[request.parts.size() - 2].prefixHash;
     demand.sharedTokens = request.sharedTokens();
     demand.model = request.caller.model;
     demand.isUrgent = isUrgent(*request.route, request.tenant);
@@ -76,7 +76,7 @@
     const auto most = isUrgent(route, request.tenant) ? PatienceInTargets : QueueInTargets;
     const auto patience = std::min<EngineModel::Milliseconds>(
         most * EngineModel::Milliseconds(route.target),
-        FirstTokenShare * EngineModel::Milliseconds(request.left(now)));
+        FirstTokenShare * EngineModel::Milliseconds(request.remainingTime(now)));
     if (choice.expectedFirst <= patience)
         return std::nullopt;
     const auto wait = choice.expectedFirst - route.target;
@@ -147,8 +147,8 @@
         return Refusal {Core::ErrorKind::NoUpstream, "service " + name + " is not configured",
                         ShortRetryAfter};
     ChoiceLimits limits;
-    limits.maxInFlight =
-        std::max(2U, service->maxConnections / (gateway.instances().value_or(1) + SpareInstances));
+    limits.maxInFlight = std::max(2U, service->maxConnections
+                                          / (gateway.instanceCount().value_or(1) + SpareInstances));
     limits.excluded = excluded;
     limits.now = gateway.dependencies().clock.now();
     if (service->engine && !request.caller.model.empty())
--- a/Libraries/LibGateway/RequestRelay.cpp
+++ b/Libraries/LibGateway/RequestRelay.cpp
@@ -93,7 +93,7 @@
         if (const auto alive = guard.lock(); alive && *alive)
             endWith(EndReason::CallerGone);
     });
-    m_timer->expires_after(left());
+    m_timer->expires_after(remainingTime());
     m_timer->async_wait([this, guard](const auto &ec) {
         const auto alive = guard.lock();
         if (!ec && alive && *alive)
@@ -163,12 +163,12 @@
 
 bool RequestRelay::mayTryAgain(AttemptEnd end)
 {
-    if (m_endReason != EndReason::None || left() <= 0ms)
+    if (m_endReason != EndReason::None || remainingTime() <= 0ms)
         return false;
     const auto &dependencies = m_gateway.dependencies();
     const auto mayRepeat = [&] {
         return m_gateway.retries(m_plan->service)
-            .tryRepeat(dependencies.settings.retries, m_gateway.instances(),
+            .tryRepeat(dependencies.settings.retries, m_gateway.instanceCount(),
                        dependencies.clock.now());
     };
     switch (end) {
@@ -205,7 +205,7 @@
             duration_cast<std::chrono::nanoseconds>(m_plan->engine->expectedFirst),
             m_request.labels());
         const auto *service = m_request.configuration->findService(m_plan->service);
-        m_plan->upstream->memory().setCapacity(service->engine->cacheTokens);
+        m_plan->upstream->prefixCache().setCapacity(service->engine->cacheTokens);
     }
     UpstreamLoad load(m_plan->upstream, missed, m_request.memoryTokens(),
                       isUrgent(*m_request.route, m_request.tenant),
@@ -224,7 +224,7 @@
     const auto &request = m_exchange.request();
     Dispatch dispatch;
     dispatch.upstream = m_plan->upstream->report().id;
-    dispatch.left = left();
+    dispatch.remainingTime = remainingTime();
     dispatch.tenant = m_request.tenant ? m_request.tenant->name : "";
     dispatch.cacheScope = m_request.cacheScope();
     dispatch.urgency =
@@ -269,9 +269,9 @@
     };
     // The deadline's timer ends the call; these only bound what it would forget.
     Http::ClientTimeouts timeouts;
-    timeouts.connect = std::min<milliseconds>(ConnectTimeout, left());
-    timeouts.head = left() + 1s;
-    timeouts.body = left() + 1s;
+    timeouts.connect = std::min<milliseconds>(ConnectTimeout, remainingTime());
+    timeouts.head = remainingTime() + 1s;
+    timeouts.body = remainingTime() + 1s;
     std::unique_ptr<Http::ClientExchange> answer;
     std::optional<Core::Error> failure;
     try {
@@ -314,8 +314,8 @@
     if (error.kind() == Core::ErrorKind::UpstreamFailed) {
         m_gateway.poison().noteUpstreamFailure(m_request.digest,
                                                m_gateway.dependencies().clock.now());
-        if (m_gateway.onBreak)
-            m_gateway.onBreak(m_request.digest);
+        if (m_gateway.onUpstreamFailure)
+            m_gateway.onUpstreamFailure(m_request.digest);
     }
     return m_exchange.hasStarted() ? AttemptEnd::StreamBroken : AttemptEnd::Broken;
 }
@@ -377,17 +377,17 @@
         // Another life has the address; the entry of the one before has yet to lapse.
         m_plan->upstream->pauseUntil(
             now + LapsedReports * m_gateway.dependencies().settings.reportInterval);
-        if (m_gateway.onHold)
-            m_gateway.onHold(*m_plan->upstream,
-                             LapsedReports * m_gateway.dependencies().settings.reportInterval);
+        if (m_gateway.onPause)
+            m_gateway.onPause(*m_plan->upstream,
+                              LapsedReports * m_gateway.dependencies().settings.reportInterval);
         return;
     }
     if (!m_plan->engine)
         return;
     // It is full or carries out an order, or took other weights than were known.
     m_plan->upstream->pauseUntil(std::max(m_plan->upstream->pausedUntil(), now + BusyPause));
-    if (head.isOtherUpstream && m_gateway.onOtherWeights)
-        m_gateway.onOtherWeights(m_plan->upstream);
+    if (head.isOtherUpstream && m_gateway.onWeightsMismatch)
+        m_gateway.onWeightsMismatch(m_plan->upstream);
 }
 
 asio::awaitable<RequestRelay::AttemptEnd> RequestRelay::relayWhole(Http::ClientExchange &answer,
@@ -534,7 +534,7 @@
     if (retryAfter) {
         auto wait = *retryAfter;
         if (m_request.deadline != Core::Clock::Monotonic::max())
-            wait = std::clamp<milliseconds>(wait, 0ms, left() / RetryAfterShare);
+            wait = std::clamp<milliseconds>(wait, 0ms, remainingTime() / RetryAfterShare);
         response.headers.add("Retry-After", formatSeconds(wait));
     }
     co_await m_exchange.respond(std::move(response));
@@ -545,9 +545,9 @@
     logAttempt(m_gateway, m_request, *m_plan, m_progress, end, reason);
 }
 
-milliseconds RequestRelay::left() const
+milliseconds RequestRelay::remainingTime() const
 {
-    return m_request.left(m_gateway.dependencies().clock.now());
+    return m_request.remainingTime(m_gateway.dependencies().clock.now());
 }
 
 } // namespace Gateway
--- a/Libraries/LibGateway/RequestRelay.h
+++ b/Libraries/LibGateway/RequestRelay.h
@@ -79,7 +79,7 @@
     void noteUnreachable();
     void noteRefusedByUpstream(unsigned status, const AnswerHead &head);
     void noteAttempt(std::string_view end, const std::string &reason) const;
-    std::chrono::milliseconds left() const;
+    std::chrono::milliseconds remainingTime() const;
 
     Gateway &m_gateway;
     Http::ServerExchange &m_exchange;
--- a/Libraries/LibGateway/SiblingExchange.cpp
+++ b/Libraries/LibGateway/SiblingExchange.cpp
@@ -72,7 +72,7 @@
     std::vector<Wire::KeptPart> entries;
     entries.reserve(parts.size());
     for (const auto &entry : parts)
-        entries.emplace_back(entry.holder, entry.part.chain, entry.part.tokens);
+        entries.emplace_back(entry.holder, entry.part.prefixHash, entry.part.tokens);
     return entries;
 }
 
--- a/Libraries/LibGateway/Upstream.cpp
+++ b/Libraries/LibGateway/Upstream.cpp
@@ -27,10 +27,11 @@
 
 bool Upstream::update(UpstreamReport report)
 {
-    const bool isNewLife = report.born != m_report.born || report.endpoint != m_report.endpoint;
+    const bool isNewLife =
+        report.startTime != m_report.startTime || report.endpoint != m_report.endpoint;
     const auto earlier = std::exchange(m_report, std::move(report));
     if (isNewLife) {
-        m_memory.clear();
+        m_prefixCache.clear();
         m_failureShare = 0;
         m_slowness = 1;
         return true;
@@ -40,7 +41,7 @@
         // A report can be older than what an answer showed.
         known = std::max(known, version);
         if (known != version)
-            m_memory.clear();
+            m_prefixCache.clear();
     }
     return false;
 }
@@ -69,7 +70,7 @@
     m_inFlight -= m_inFlight > 0 ? 1 : 0;
 }
 
-std::uint64_t Upstream::tokensBefore(bool isUrgent) const
+std::uint64_t Upstream::tokensAhead(bool isUrgent) const
 {
     const auto all = m_waitingTokens.all + m_siblingLoad.waitingTokens.all;
     if (!isUrgent)
@@ -123,7 +124,7 @@
     if (version <= known)
         return;
     known = version;
-    m_memory.clear();
+    m_prefixCache.clear();
 }
 
 } // namespace Gateway
--- a/Libraries/LibGateway/Upstream.h
+++ b/Libraries/LibGateway/Upstream.h
@@ -62,7 +62,7 @@
     void setSiblingLoad(const SiblingLoad &load) { m_siblingLoad = load; }
     const SiblingLoad &siblingLoad() const { return m_siblingLoad; }
     /// Tokens of all instances that are read before those of a new request.
-    std::uint64_t tokensBefore(bool isUrgent) const;
+    std::uint64_t tokensAhead(bool isUrgent) const;
     /// Requests of all instances that it works on.
     unsigned allInFlight() const { return m_inFlight + m_siblingLoad.inFlight; }
 
@@ -75,10 +75,10 @@
     double slowness() const { return m_slowness; }
     void noteSlowness(double sample);
 
-    PrefixCacheEstimate &memory() { return m_memory; }
+    PrefixCacheEstimate &prefixCache() { return m_prefixCache; }
     /// Notes that it read or used a prompt's parts.
-    void noteCached(std::span<const PromptPart> parts) { m_memory.noteUse(parts); }
-    const PrefixCacheEstimate &memory() const { return m_memory; }
+    void noteCached(std::span<const PromptPart> parts) { m_prefixCache.noteUse(parts); }
+    const PrefixCacheEstimate &prefixCache() const { return m_prefixCache; }
 
     /// The version of the model's weights that it was last seen to have; 0 when unknown.
     std::uint64_t weights(const std::string &model) const;
@@ -96,7 +96,7 @@
 
 private:
     UpstreamReport m_report;
-    PrefixCacheEstimate m_memory;
+    PrefixCacheEstimate m_prefixCache;
     WaitingTokens m_waitingTokens;
     std::uint64_t m_memoryTokens = 0;
     SiblingLoad m_siblingLoad;
--- a/Libraries/LibGateway/UpstreamChooser.cpp
+++ b/Libraries/LibGateway/UpstreamChooser.cpp
@@ -71,7 +71,7 @@
         if (member->isGone() || member->failureShare(limits.now) > MostSourceFailures)
             continue;
         auto &holder = holders[member->weights(demand.model)];
-        const auto tokens = member->memory().cachedTokens(demand.parts);
+        const auto tokens = member->prefixCache().cachedTokens(demand.parts);
         const bool isBetter = tokens > holder.tokens
                               || (tokens == holder.tokens && holder.engine && tokens > 0
                                   && member->inFlight() < holder.engine->inFlight());
@@ -97,7 +97,7 @@
     EngineChoice choice;
     choice.upstream = engine;
     choice.cachedTokens =
-        std::min(engine->memory().cachedTokens(demand.parts), demand.promptTokens);
+        std::min(engine->prefixCache().cachedTokens(demand.parts), demand.promptTokens);
     choice.readyTokens = choice.cachedTokens;
     Milliseconds fetch {0};
     // Engines forget what the store still holds, so the store goes first where both have it.
@@ -114,7 +114,7 @@
         fetch = Milliseconds((most - choice.cachedTokens) / demand.fetchTokensPerMillisecond);
     }
     const auto tokens =
-        engine->tokensBefore(demand.isUrgent) + demand.promptTokens - choice.readyTokens;
+        engine->tokensAhead(demand.isUrgent) + demand.promptTokens - choice.readyTokens;
     choice.expectedFirst =
         engine->slowness() * model.firstToken(tokens) + fetch + memoryWait(*engine, demand);
     return choice;
--- a/Libraries/LibGateway/UpstreamFleet.cpp
+++ b/Libraries/LibGateway/UpstreamFleet.cpp
@@ -22,7 +22,8 @@
     }
     const auto upstream = it->second;
     const auto &known = upstream->report();
-    if (report.born < known.born || (report.born == known.born && report.number < known.number))
+    if (report.startTime < known.startTime
+        || (report.startTime == known.startTime && report.sequence < known.sequence))
         return;
     if (report.isDraining && !known.isDraining)
         Core::logEvent(Core::EventId::UpstreamLeaving,
--- a/Libraries/LibGateway/UpstreamLoad.h
+++ b/Libraries/LibGateway/UpstreamLoad.h
@@ -16,7 +16,7 @@
         , m_tokens(tokens)
         , m_memoryTokens(memoryTokens)
         , m_isUrgent(isUrgent)
-        , m_isAlone(m_upstream->tokensBefore(false) == 0)
+        , m_isAlone(m_upstream->tokensAhead(false) == 0)
         , m_sent(now)
     {
         m_upstream->noteSent(m_tokens, m_isUrgent);
--- a/Libraries/LibGateway/UpstreamReport.h
+++ b/Libraries/LibGateway/UpstreamReport.h
@@ -20,9 +20,9 @@
     unsigned slots = 1;
     bool isDraining = false;
     /// Rises with each report of one life.
-    std::uint64_t number = 0;
+    std::uint64_t sequence = 0;
     /// When this life of the upstream began, in the upstream's calendar time.
-    std::chrono::milliseconds born {0};
+    std::chrono::milliseconds startTime {0};
     /// The weights in force, by model.
     std::map<std::string, std::uint64_t> weights;
 };
--- a/Libraries/LibGateway/WeightRoller.cpp
+++ b/Libraries/LibGateway/WeightsRollout.cpp
@@ -1,6 +1,6 @@
 #include <LibCore/EventLog.h>
 #include <LibGateway/FleetWatcher.h>
-#include <LibGateway/WeightRoller.h>
+#include <LibGateway/WeightsRollout.h>
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -35,11 +35,11 @@
 
 } // namespace
 
-WeightRoller::WeightRoller(Dependencies dependencies)
+WeightsRollout::WeightsRollout(Dependencies dependencies)
     : m_dependencies(std::move(dependencies))
 { }
 
-std::vector<WeightRoller::Task> WeightRoller::tasks() const
+std::vector<WeightsRollout::Task> WeightsRollout::tasks() const
 {
     std::vector<Task> result;
     const auto now = m_dependencies.clock.now();
@@ -64,7 +64,7 @@
     return result;
 }
 
-asio::awaitable<void> WeightRoller::run()
+asio::awaitable<void> WeightsRollout::run()
 {
     for (;;) {
         co_await sleepFor(IdlePause);
@@ -90,14 +90,14 @@
     }
 }
 
-bool WeightRoller::isTurn(Core::Clock::Monotonic named) const
+bool WeightsRollout::isTurn(Core::Clock::Monotonic named) const
 {
     // Members that do not answer would only make the others wait for their turn.
     const auto before = m_dependencies.members.reachableBefore("orders");
     return m_dependencies.clock.now() >= named + before * TurnStep;
 }
 
-asio::awaitable<bool> WeightRoller::ensureLease(Core::Clock::Monotonic named)
+asio::awaitable<bool> WeightsRollout::ensureLease(Core::Clock::Monotonic named)
 {
     const auto now = m_dependencies.clock.now();
     const auto &lease = m_dependencies.journal.lease();
@@ -109,7 +109,7 @@
     co_return co_await m_dependencies.journal.takeLease();
 }
 
-asio::awaitable<void> WeightRoller::roll(Task task)
+asio::awaitable<void> WeightsRollout::roll(Task task)
 {
     std::string failure;
     try {
@@ -127,30 +127,30 @@
         backOff(task, FailurePause);
     }
     task.engine->pauseUntil(Core::Clock::Monotonic::min());
-    if (onHold)
-        onHold(*task.engine, 0ms);
+    if (onPause)
+        onPause(*task.engine, 0ms);
     m_isRolling.erase(id);
     --m_running;
 }
 
-asio::awaitable<EngineState> WeightRoller::stateOf(Upstream &engine)
+asio::awaitable<EngineState> WeightsRollout::stateOf(Upstream &engine)
 {
     auto state = co_await m_dependencies.engines.state(engine.report());
     noteWeights(engine, state);
     co_return state;
 }
 
-void WeightRoller::noteWeights(Upstream &engine, const EngineState &state) const
+void WeightsRollout::noteWeights(Upstream &engine, const EngineState &state) const
 {
     for (const auto &[model, version] : state.weights) {
         const auto before = engine.weights(model);
         engine.noteWeights(model, version);
-        if (version > before && onWeights)
-            onWeights(engine, model, version);
+        if (version > before && onWeightsSeen)
+            onWeightsSeen(engine, model, version);
     }
 }
 
-asio::awaitable<void> WeightRoller::refresh(std::shared_ptr<Upstream> engine)
+asio::awaitable<void> WeightsRollout::refresh(std::shared_ptr<Upstream> engine)
 {
     const auto id = engine->report().id;
     if (!m_isAsked.try_emplace(id, true).second)
@@ -164,7 +164,7 @@
     m_isAsked.erase(id);
 }
 
-asio::awaitable<bool> WeightRoller::giveOrder(const Task &task)
+asio::awaitable<bool> WeightsRollout::giveOrder(const Task &task)
 {
     const auto &id = task.engine->report().id;
     const auto state = co_await stateOf(*task.engine);
@@ -175,8 +175,8 @@
         co_return false;
     }
     task.engine->pauseUntil(m_dependencies.clock.now() + HoldTime);
-    if (onHold)
-        onHold(*task.engine, HoldTime);
+    if (onPause)
+        onPause(*task.engine, HoldTime);
     // An order ends the wait of what has not begun; those requests would have to go elsewhere.
     co_await sleepFor(timeToBegin(*task.engine));
     const auto token =
@@ -204,7 +204,7 @@
     m_dependencies.metrics.orders.add(1, {}, "refused");
     // Another life of the engine counts anew, and its own word is as good as ours then.
     m_accepted.erase(id);
-    if (outcome == OrderOutcome::AlreadyHolds) {
+    if (outcome == OrderOutcome::AlreadyInForce) {
         EngineState holds;
         holds.weights[task.model] = task.version;
         noteWeights(*task.engine, holds);
@@ -213,16 +213,16 @@
     co_return false;
 }
 
-std::chrono::milliseconds WeightRoller::timeToBegin(const Upstream &engine) const
+std::chrono::milliseconds WeightsRollout::timeToBegin(const Upstream &engine) const
 {
-    const auto tokens = engine.tokensBefore(false);
+    const auto tokens = engine.tokensAhead(false);
     const auto reading = m_dependencies.expectedFirst ? m_dependencies.expectedFirst(engine, tokens)
                                                       : EngineModel::Milliseconds(0);
     return std::clamp(std::chrono::ceil<std::chrono::milliseconds>(reading), LeastHoldNotice,
                       MostHoldNotice);
 }
 
-asio::awaitable<void> WeightRoller::awaitWeights(const Task &task)
+asio::awaitable<void> WeightsRollout::awaitWeights(const Task &task)
 {
     const auto begin = m_dependencies.clock.now();
     while (m_dependencies.clock.now() - begin < MostOrderTime) {
@@ -243,7 +243,7 @@
     backOff(task, ConflictPause);
 }
 
-void WeightRoller::backOff(const Task &task, std::chrono::milliseconds time)
+void WeightsRollout::backOff(const Task &task, std::chrono::milliseconds time)
 {
     m_notBefore[task.engine->report().id] = m_dependencies.clock.now() + time;
 }
--- a/Libraries/LibGateway/WeightRoller.h
+++ b/Libraries/LibGateway/WeightsRollout.h
@@ -14,7 +14,7 @@
 
 /// Brings engines to the weights that operators named, some at a time, while this instance holds
 /// the lease for orders.
-class WeightRoller
+class WeightsRollout
 {
 public:
     struct Dependencies
@@ -32,7 +32,7 @@
             expectedFirst;
     };
 
-    explicit WeightRoller(Dependencies dependencies);
+    explicit WeightsRollout(Dependencies dependencies);
 
     /// Works until the process ends.
     boost::asio::awaitable<void> run();
@@ -41,10 +41,10 @@
     boost::asio::awaitable<void> refresh(std::shared_ptr<Upstream> engine);
 
     /// Called when an engine is to begin nothing for a while, so that siblings hear of it.
-    std::function<void(const Upstream &, std::chrono::milliseconds)> onHold;
+    std::function<void(const Upstream &, std::chrono::milliseconds)> onPause;
     /// Called when an engine was seen to have weights.
     std::function<void(const Upstream &, const std::string &model, std::uint64_t version)>
-        onWeights;
+        onWeightsSeen;
 
 private:
     /// One engine that has older weights than were named.
--- a/Libraries/LibGateway/WeightsTargets.cpp
+++ b/Libraries/LibGateway/WeightsTargets.cpp
@@ -11,8 +11,8 @@
 
 } // namespace
 
-bool WeightsTargets::name(const std::string &model, std::uint64_t version,
-                          Core::Clock::Monotonic now)
+bool WeightsTargets::addTarget(const std::string &model, std::uint64_t version,
+                               Core::Clock::Monotonic now)
 {
     auto &targets = m_targets[model];
     if (!targets.empty() && version <= targets.back().version)
--- a/Libraries/LibGateway/WeightsTargets.h
+++ b/Libraries/LibGateway/WeightsTargets.h
@@ -21,7 +21,7 @@
     };
 
     /// Takes a higher version. Returns whether it was one.
-    bool name(const std::string &model, std::uint64_t version, Core::Clock::Monotonic now);
+    bool addTarget(const std::string &model, std::uint64_t version, Core::Clock::Monotonic now);
     /// The newest target of each model that one was named for.
     std::map<std::string, Target> newest() const;
     /// Since when weights of this version are known to be outdated; none while they are the newest.
--- a/Tests/LibGateway/TestConfiguration.cpp
+++ b/Tests/LibGateway/TestConfiguration.cpp
@@ -89,11 +89,11 @@
     Core::ManualClock clock;
     Gateway::WeightsTargets targets;
     CHECK_FALSE(targets.outdatedSince("m", 1).has_value());
-    targets.name("m", 2, clock.now());
+    targets.addTarget("m", 2, clock.now());
     const auto second = clock.now();
     clock.advance(3s);
-    targets.name("m", 3, clock.now());
-    CHECK_FALSE(targets.name("m", 2, clock.now()));
+    targets.addTarget("m", 3, clock.now());
+    CHECK_FALSE(targets.addTarget("m", 2, clock.now()));
     CHECK(targets.outdatedSince("m", 1) == second);
     CHECK(targets.outdatedSince("m", 2) == clock.now());
     CHECK_FALSE(targets.outdatedSince("m", 3).has_value());
--- a/Tests/LibGateway/TestFleetWatcher.cpp
+++ b/Tests/LibGateway/TestFleetWatcher.cpp
@@ -37,8 +37,8 @@
         const auto first = value.find(':');
         const auto second = value.find(':', first + 1);
         report.service = value.substr(0, first);
-        report.born = std::chrono::milliseconds(std::stoll(value.substr(first + 1)));
-        report.number = std::stoull(value.substr(second + 1));
+        report.startTime = std::chrono::milliseconds(std::stoll(value.substr(first + 1)));
+        report.sequence = std::stoull(value.substr(second + 1));
         report.isDraining = value.ends_with("d");
         return report;
     }
@@ -110,15 +110,15 @@
     fixture.upstream("w", "app:10:4d");
     CHECK_FALSE(fixture.find("w")->report().isDraining);
     fixture.upstream("w", "unreadable");
-    CHECK(fixture.find("w")->report().number == 5);
-    auto &memory = fixture.find("w")->memory();
-    memory.setCapacity(1'000);
+    CHECK(fixture.find("w")->report().sequence == 5);
+    auto &prefixCache = fixture.find("w")->prefixCache();
+    prefixCache.setCapacity(1'000);
     const std::vector<Gateway::PromptPart> parts {{1, 100}};
-    memory.noteUse(parts);
+    prefixCache.noteUse(parts);
     fixture.upstream("w", "app:10:6");
-    CHECK(memory.cachedTokens(parts) == 100);
+    CHECK(prefixCache.cachedTokens(parts) == 100);
     fixture.upstream("w", "app:20:0");
-    CHECK(memory.cachedTokens(parts) == 0);
+    CHECK(prefixCache.cachedTokens(parts) == 0);
     fixture.upstream("w", "app:10:9d");
     CHECK_FALSE(fixture.find("w")->report().isDraining);
 }
--- a/Tests/LibGateway/TestJournal.cpp
+++ b/Tests/LibGateway/TestJournal.cpp
@@ -129,7 +129,7 @@
     CHECK(freshPoison.isPoison(42, clock.now()));
     CHECK_FALSE(freshPoison.isPoison(43, clock.now()));
     // What was only told is not announced on, or it would never be forgotten.
-    CHECK(freshPoison.poison(clock.now()).empty());
+    CHECK(freshPoison.poisonDigests(clock.now()).empty());
     clock.advance(6min);
     other.apply({10, {}, journal.announcement()});
     CHECK_FALSE(freshPoison.isPoison(42, clock.now()));
--- a/Tests/LibGateway/TestMemory.cpp
+++ b/Tests/LibGateway/TestMemory.cpp
@@ -12,32 +12,32 @@
 
 TEST_CASE("parts count as kept only together with all parts before them")
 {
-    Gateway::PrefixCacheEstimate memory;
-    memory.setCapacity(1'000);
+    Gateway::PrefixCacheEstimate prefixCache;
+    prefixCache.setCapacity(1'000);
     const std::vector<PromptPart> parts {{1, 100}, {2, 200}, {3, 300}};
-    memory.noteUse(std::span(parts).subspan(1));
-    CHECK(memory.cachedTokens(parts) == 0);
-    memory.noteUse(std::span(parts).first(1));
-    CHECK(memory.cachedTokens(parts) == 600);
-    memory.clear();
-    CHECK(memory.cachedTokens(parts) == 0);
-    CHECK(memory.tokens() == 0);
+    prefixCache.noteUse(std::span(parts).subspan(1));
+    CHECK(prefixCache.cachedTokens(parts) == 0);
+    prefixCache.noteUse(std::span(parts).first(1));
+    CHECK(prefixCache.cachedTokens(parts) == 600);
+    prefixCache.clear();
+    CHECK(prefixCache.cachedTokens(parts) == 0);
+    CHECK(prefixCache.tokens() == 0);
 }
 
 TEST_CASE("the least recently used parts go first, and never before those that build on them")
 {
-    Gateway::PrefixCacheEstimate memory;
-    memory.setCapacity(500);
+    Gateway::PrefixCacheEstimate prefixCache;
+    prefixCache.setCapacity(500);
     const std::vector<PromptPart> old {{1, 200}, {2, 200}};
     const std::vector<PromptPart> fresh {{3, 200}};
-    memory.noteUse(old);
-    memory.noteUse(fresh);
-    CHECK(memory.cachedTokens(old) == 200);
-    CHECK(memory.cachedTokens(fresh) == 200);
-    memory.noteUse(std::span(old).first(1));
-    memory.noteUse(std::vector<PromptPart> {{4, 200}});
-    CHECK(memory.cachedTokens(old) == 200);
-    CHECK(memory.cachedTokens(fresh) == 0);
+    prefixCache.noteUse(old);
+    prefixCache.noteUse(fresh);
+    CHECK(prefixCache.cachedTokens(old) == 200);
+    CHECK(prefixCache.cachedTokens(fresh) == 200);
+    prefixCache.noteUse(std::span(old).first(1));
+    prefixCache.noteUse(std::vector<PromptPart> {{4, 200}});
+    CHECK(prefixCache.cachedTokens(old) == 200);
+    CHECK(prefixCache.cachedTokens(fresh) == 0);
 }
 
 TEST_CASE("the store of parts is believed only while it answers, and is empty in another life")
@@ -117,7 +117,7 @@
         upstream.id = Core::UpstreamId(id);
         upstream.service = "llm";
         upstream.weights["m"] = weights;
-        upstream.born = std::chrono::milliseconds(born);
+        upstream.startTime = std::chrono::milliseconds(born);
         return upstream;
     };
     const std::vector<PromptPart> parts {{1, 100}, {2, 200}};
@@ -144,9 +144,9 @@
     fresh.apply(report("restarted", 3, 51));
     fresh.apply(report("reloaded", 4, 50));
     CHECK(applyCacheSnapshot(snapshot, fresh, freshStores) == 4);
-    CHECK(fresh.find(Core::UpstreamId("same"))->memory().cachedTokens(parts) == 300);
-    CHECK(fresh.find(Core::UpstreamId("restarted"))->memory().cachedTokens(parts) == 0);
-    CHECK(fresh.find(Core::UpstreamId("reloaded"))->memory().cachedTokens(parts) == 0);
+    CHECK(fresh.find(Core::UpstreamId("same"))->prefixCache().cachedTokens(parts) == 300);
+    CHECK(fresh.find(Core::UpstreamId("restarted"))->prefixCache().cachedTokens(parts) == 0);
+    CHECK(fresh.find(Core::UpstreamId("reloaded"))->prefixCache().cachedTokens(parts) == 0);
     CHECK(freshStores.find(holder)->storedTokens(parts, 3) == 300);
 
     // A store that began another life holds none of it.
@@ -183,6 +183,6 @@
     applyCacheSnapshot(snapshot, fresh, stores);
     const std::vector<PromptPart> newest {{499, 100}};
     const std::vector<PromptPart> oldest {{0, 100}};
-    CHECK(fresh.find(Core::UpstreamId("w7"))->memory().cachedTokens(newest) == 100);
-    CHECK(fresh.find(Core::UpstreamId("w7"))->memory().cachedTokens(oldest) == 0);
+    CHECK(fresh.find(Core::UpstreamId("w7"))->prefixCache().cachedTokens(newest) == 100);
+    CHECK(fresh.find(Core::UpstreamId("w7"))->prefixCache().cachedTokens(oldest) == 0);
 }
--- a/Tests/LibGateway/TestPlacement.cpp
+++ b/Tests/LibGateway/TestPlacement.cpp
@@ -48,7 +48,7 @@
         report.weights["m"] = weights;
         fleet.apply(report);
         auto &upstream = *fleet.find(report.id);
-        upstream.memory().setCapacity(200'000);
+        upstream.prefixCache().setCapacity(200'000);
         return upstream;
     }
 
@@ -167,7 +167,7 @@
     fixture.fleet.apply(report);
     CHECK(fixture.chosen() != first);
     Gateway::WeightsTargets targets;
-    targets.name("m", 2, fixture.clock.now());
+    targets.addTarget("m", 2, fixture.clock.now());
     fixture.demand.targets = &targets;
     fixture.demand.weightsPatience = 4'000ms;
     CHECK(fixture.choose().has_value());
--- a/Tests/LibGateway/TestSiblings.cpp
+++ b/Tests/LibGateway/TestSiblings.cpp
@@ -33,7 +33,7 @@
         report.service = "llm";
         report.weights["m"] = 1;
         fleet.apply(report);
-        engine().memory().setCapacity(100'000);
+        engine().prefixCache().setCapacity(100'000);
     }
 
     Gateway::Upstream &engine() const { return *fleet.find(Core::UpstreamId("w1")); }
@@ -62,7 +62,7 @@
     CHECK(other.engine().siblingLoad().waitingTokens.urgent == 5'000);
     CHECK(other.engine().siblingLoad().inFlight == 1);
     CHECK(other.engine().weights("m") == 4);
-    CHECK(other.engine().memory().cachedTokens(parts) == 300);
+    CHECK(other.engine().prefixCache().cachedTokens(parts) == 300);
     CHECK(other.engine().pausedUntil() == other.clock.now() + 500ms);
     one.engine().noteFirstToken(5'000, true);
     one.engine().noteEnd();
@@ -227,14 +227,14 @@
         northern.exchange->apply(north.exchange->encodeRemoteSum());
     }
     for (auto *instance : all)
-        CHECK(instance->engine().tokensBefore(false) == 15'000);
+        CHECK(instance->engine().tokensAhead(false) == 15'000);
     // Even what a former hub still passes on is counted once.
     southern.exchange->apply(north.exchange->encodeDataCentre());
-    CHECK(southern.engine().tokensBefore(false) == 15'000);
+    CHECK(southern.engine().tokensAhead(false) == 15'000);
     south.exchange->apply(southern.exchange->encodeRemoteSum());
     south.exchange->apply(south.exchange->encodeDataCentre());
-    CHECK(south.engine().tokensBefore(false) == 15'000);
-    CHECK(southern.engine().memory().cachedTokens(parts) == 100);
+    CHECK(south.engine().tokensAhead(false) == 15'000);
+    CHECK(southern.engine().prefixCache().cachedTokens(parts) == 100);
 }
 
 TEST_CASE("the next fastest instance becomes the hub when the hub goes silent")
