--- a/Libraries/LibGateway/AcceptedRequest.cpp
+++ b/Libraries/LibGateway/AcceptedRequest.cpp
@@ -14,12 +14,12 @@
 
 constexpr auto ShortRetryAfter = 300ms;
 // Younger knowledge than this part of the configuration's bound is taken to be complete.
-constexpr double CompleteKnowledgeShare = 0.75;
+constexpr double UpToDateShare = 0.75;
 
 } // namespace
 
-std::optional<Refusal> AcceptedRequest::read(const RequestDialect &dialect,
-                                             const Http::Request &request)
+std::optional<Refusal> AcceptedRequest::decode(const RequestDialect &dialect,
+                                               const Http::Request &request)
 {
     auto decoded = dialect.decode(request);
     if (!decoded)
@@ -30,29 +30,28 @@
 
 std::optional<Refusal> AcceptedRequest::authorize(Gateway &gateway, const Http::Request &request)
 {
-    const auto &known = gateway.dependencies().configuration;
+    const auto &state = gateway.dependencies().configuration;
     const auto now = gateway.dependencies().clock.now();
-    configuration = known.current();
+    configuration = state.current();
     if (!configuration)
         return Refusal {Core::ErrorKind::NotReady, "no configuration is known yet",
                         ShortRetryAfter};
     // What is not known may have been added since; only fresh knowledge denies it.
-    const bool isComplete =
-        known.age(now)
-        < CompleteKnowledgeShare * gateway.dependencies().settings.configurationBound;
+    const bool isUpToDate =
+        state.age(now) < UpToDateShare * gateway.dependencies().settings.configurationBound;
     const Refusal outOfDate {Core::ErrorKind::NotReady, "the configuration may be out of date",
                              ShortRetryAfter};
     const auto &target = request.target;
     route = configuration->findRoute(caller.host, target.substr(0, target.find('?')));
     if (!route)
-        return isComplete ? Refusal {Core::ErrorKind::UnknownRoute, "no route matches", {}}
+        return isUpToDate ? Refusal {Core::ErrorKind::UnknownRoute, "no route matches", {}}
                           : outOfDate;
     tenant = configuration->findTenant(caller.key);
     if (!route->isPublic && !configuration->tenants.empty()) {
-        if (!gateway.knowsKeys())
+        if (!gateway.hasUpToDateKeys())
             return outOfDate;
         if (!tenant)
-            return isComplete ? Refusal {Core::ErrorKind::Unauthenticated, "unknown key", {}}
+            return isUpToDate ? Refusal {Core::ErrorKind::Unauthenticated, "unknown key", {}}
                               : outOfDate;
     }
     digest = requestDigest(target, tenantName(), request.body);
--- a/Libraries/LibGateway/AcceptedRequest.h
+++ b/Libraries/LibGateway/AcceptedRequest.h
@@ -41,7 +41,7 @@
     std::uint64_t digest = 0;
 
     /// Reads the caller's words. Returns why not, when they are malformed.
-    std::optional<Refusal> read(const RequestDialect &dialect, const Http::Request &request);
+    std::optional<Refusal> decode(const RequestDialect &dialect, const Http::Request &request);
     /// Finds route and team in the configuration in force. Returns why the request is not allowed,
     /// or not known to be.
     std::optional<Refusal> authorize(Gateway &gateway, const Http::Request &request);
--- a/Libraries/LibGateway/ConfigurationState.cpp
+++ b/Libraries/LibGateway/ConfigurationState.cpp
@@ -12,16 +12,16 @@
     return true;
 }
 
-void ConfigurationState::confirm(Core::Clock::Monotonic asked)
+void ConfigurationState::confirm(Core::Clock::Monotonic readStart)
 {
-    m_confirmed = std::max(m_confirmed, asked);
+    m_confirmedAt = std::max(m_confirmedAt, readStart);
 }
 
 std::chrono::nanoseconds ConfigurationState::age(Core::Clock::Monotonic now) const
 {
-    if (m_confirmed == Core::Clock::Monotonic::min())
+    if (m_confirmedAt == Core::Clock::Monotonic::min())
         return std::chrono::nanoseconds::max();
-    return now - m_confirmed;
+    return now - m_confirmedAt;
 }
 
 } // namespace Gateway
--- a/Libraries/LibGateway/ConfigurationState.h
+++ b/Libraries/LibGateway/ConfigurationState.h
@@ -18,7 +18,7 @@
     bool adopt(Version version);
     /// Notes that a read that was asked at the given time showed nothing newer than what is in
     /// force.
-    void confirm(Core::Clock::Monotonic asked);
+    void confirm(Core::Clock::Monotonic readStart);
 
     /// The configuration in force; null before the first.
     const Version &current() const { return m_current; }
@@ -28,7 +28,7 @@
 
 private:
     Version m_current;
-    Core::Clock::Monotonic m_confirmed = Core::Clock::Monotonic::min();
+    Core::Clock::Monotonic m_confirmedAt = Core::Clock::Monotonic::min();
 };
 
 } // namespace Gateway
--- a/Libraries/LibGateway/EngineModel.cpp
+++ b/Libraries/LibGateway/EngineModel.cpp
@@ -9,27 +9,27 @@
 // The way there and back and the first step of decoding.
 constexpr EngineModel::Milliseconds Overhead {10};
 // Shorter prompts say more about the overhead than about the rate.
-constexpr unsigned LeastLearntTokens = 1'500;
+constexpr unsigned MinSampleTokens = 1'500;
 // Most samples hold some work that this instance does not know of, so the rate follows the faster
 // ones.
 constexpr double RisingGain = 0.2;
 constexpr double FallingGain = 0.02;
-constexpr double LeastRate = 1;
-constexpr double MostRate = 2'000;
+constexpr double MinRate = 1;
+constexpr double MaxRate = 2'000;
 
 } // namespace
 
-EngineModel::Milliseconds EngineModel::firstToken(std::uint64_t tokensToRead) const
+EngineModel::Milliseconds EngineModel::firstToken(std::uint64_t tokensToPrefill) const
 {
-    return Overhead + Milliseconds(static_cast<double>(tokensToRead) / m_tokensPerMillisecond);
+    return Overhead + Milliseconds(static_cast<double>(tokensToPrefill) / m_tokensPerMillisecond);
 }
 
-void EngineModel::learn(unsigned tokensRead, Milliseconds firstToken)
+void EngineModel::addSample(unsigned prefilledTokens, Milliseconds firstToken)
 {
-    const auto reading = firstToken - Overhead;
-    if (tokensRead < LeastLearntTokens || reading <= Milliseconds::zero())
+    const auto prefillTime = firstToken - Overhead;
+    if (prefilledTokens < MinSampleTokens || prefillTime <= Milliseconds::zero())
         return;
-    const double sample = std::clamp(tokensRead / reading.count(), LeastRate, MostRate);
+    const double sample = std::clamp(prefilledTokens / prefillTime.count(), MinRate, MaxRate);
     const double gain = sample > m_tokensPerMillisecond ? RisingGain : FallingGain;
     m_tokensPerMillisecond += gain * (sample - m_tokensPerMillisecond);
 }
--- a/Libraries/LibGateway/EngineModel.h
+++ b/Libraries/LibGateway/EngineModel.h
@@ -13,16 +13,16 @@
 
     /// The expected time to the first token of a prompt when the engine has this many tokens to
     /// read, its own included.
-    Milliseconds firstToken(std::uint64_t tokensToRead) const;
+    Milliseconds firstToken(std::uint64_t tokensToPrefill) const;
     /// Learns from an answer whose prompt met no other at its engine.
-    void learn(unsigned tokensRead, Milliseconds firstToken);
+    void addSample(unsigned prefilledTokens, Milliseconds firstToken);
     double tokensPerMillisecond() const { return m_tokensPerMillisecond; }
 
 private:
     // Until the first answers: a slow engine, so that a cold instance spreads its requests.
-    static constexpr double FirstRate = 50;
+    static constexpr double InitialRate = 50;
 
-    double m_tokensPerMillisecond = FirstRate;
+    double m_tokensPerMillisecond = InitialRate;
 };
 
 } // namespace Gateway
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -21,7 +21,7 @@
     co_await relay.run();
 }
 
-bool Gateway::knowsKeys() const
+bool Gateway::hasUpToDateKeys() const
 {
     return m_dependencies.configuration.age(m_dependencies.clock.now())
            < m_dependencies.settings.revocationBound - RevocationMargin;
@@ -30,7 +30,7 @@
 bool Gateway::isReady() const
 {
     // Without the members no request could be sent again after a failure.
-    return !m_isDraining && m_dependencies.configuration.current() && knowsKeys()
+    return !m_isDraining && m_dependencies.configuration.current() && hasUpToDateKeys()
            && !m_dependencies.fleet.all().empty() && m_instanceCount;
 }
 
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -46,7 +46,7 @@
 
     /// Whether requests with keys may be sent: the knowledge of keys is younger than their
     /// revocation may take effect.
-    bool knowsKeys() const;
+    bool hasUpToDateKeys() const;
     /// Whether this instance should get new callers.
     bool isReady() const;
     /// Sets how many instances share the retry budgets and upstreams' connections.
--- a/Libraries/LibGateway/OrderLease.cpp
+++ b/Libraries/LibGateway/OrderLease.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 // For the way of an order that was sent at the lease's end.
-constexpr std::chrono::milliseconds TurnMargin {500};
+constexpr std::chrono::milliseconds HandoverMargin {500};
 
 } // namespace
 
-OrderLease::OrderLease(Core::InstanceId self, std::chrono::milliseconds turnDistance)
+OrderLease::OrderLease(Core::InstanceId self, std::chrono::milliseconds minHandoverGap)
     : m_self(std::move(self))
-    , m_turnDistance(turnDistance)
+    , m_minHandoverGap(minHandoverGap)
 { }
 
 void OrderLease::noteRecord(std::uint64_t offset, const Core::InstanceId &holder,
@@ -32,22 +32,22 @@
 {
     if (m_lastSeen == Core::Clock::Monotonic::min() || m_lastHolder == m_self)
         return true;
-    return now - m_lastSeen >= Duration + m_turnDistance + TurnMargin;
+    return now - m_lastSeen >= Duration + m_minHandoverGap + HandoverMargin;
 }
 
-void OrderLease::noteTaken(std::uint64_t offset, Core::Clock::Monotonic asked)
+void OrderLease::noteTaken(std::uint64_t offset, Core::Clock::Monotonic requestTime)
 {
-    noteRecord(offset, m_self, asked);
+    noteRecord(offset, m_self, requestTime);
     if (m_lastHolder != m_self)
         return;
     m_ownOffset = offset;
-    m_ownEnd = asked + Duration;
+    m_ownExpiry = requestTime + Duration;
 }
 
 std::optional<std::uint64_t> OrderLease::token(Core::Clock::Monotonic now,
                                                std::chrono::milliseconds margin) const
 {
-    if (!m_ownOffset || now + margin >= m_ownEnd)
+    if (!m_ownOffset || now + margin >= m_ownExpiry)
         return std::nullopt;
     // Tokens begin with 1, as some upstreams take 0 for none.
     return *m_ownOffset + 1;
--- a/Libraries/LibGateway/OrderLease.h
+++ b/Libraries/LibGateway/OrderLease.h
@@ -19,7 +19,7 @@
     /// How long a lease lasts from when it was asked for.
     static constexpr std::chrono::milliseconds Duration {1'500};
 
-    OrderLease(Core::InstanceId self, std::chrono::milliseconds turnDistance);
+    OrderLease(Core::InstanceId self, std::chrono::milliseconds minHandoverGap);
 
     /// Notes the newest lease that the log holds.
     void noteRecord(std::uint64_t offset, const Core::InstanceId &holder,
@@ -27,7 +27,7 @@
     /// Whether this instance may try to take or renew the lease.
     bool mayTake(Core::Clock::Monotonic now) const;
     /// Notes that the log took this instance's lease, asked for at the given time.
-    void noteTaken(std::uint64_t offset, Core::Clock::Monotonic asked);
+    void noteTaken(std::uint64_t offset, Core::Clock::Monotonic requestTime);
     /// The token to give orders with; none when the lease is not this instance's or runs out
     /// within the margin. The clock has to count suspension.
     std::optional<std::uint64_t> token(Core::Clock::Monotonic now,
@@ -36,12 +36,12 @@
 
 private:
     Core::InstanceId m_self;
-    std::chrono::milliseconds m_turnDistance;
+    std::chrono::milliseconds m_minHandoverGap;
     Core::InstanceId m_lastHolder;
     std::uint64_t m_lastOffset = 0;
     Core::Clock::Monotonic m_lastSeen = Core::Clock::Monotonic::min();
     std::optional<std::uint64_t> m_ownOffset;
-    Core::Clock::Monotonic m_ownEnd = Core::Clock::Monotonic::min();
+    Core::Clock::Monotonic m_ownExpiry = Core::Clock::Monotonic::min();
 };
 
 } // namespace Gateway
--- a/Libraries/LibGateway/PoisonRequestTable.cpp
+++ b/Libraries/LibGateway/PoisonRequestTable.cpp
@@ -8,18 +8,18 @@
 namespace {
 
 // Callers come back within their time budgets, which are far shorter.
-constexpr std::chrono::minutes KeptTime {5};
-constexpr std::size_t MostEntries = 10'000;
+constexpr std::chrono::minutes RetentionTime {5};
+constexpr std::size_t MaxEntries = 10'000;
 
 } // namespace
 
 void PoisonRequestTable::noteUpstreamFailure(std::uint64_t digest, Core::Clock::Monotonic now)
 {
-    if (m_entries.size() >= MostEntries)
-        dropOld(now);
+    if (m_entries.size() >= MaxEntries)
+        removeExpired(now);
     auto &entry = m_entries[digest];
     ++entry.failures;
-    entry.last = now;
+    entry.lastFailure = now;
 }
 
 void PoisonRequestTable::notePoison(std::uint64_t digest, Core::Clock::Monotonic now)
@@ -29,14 +29,14 @@
     noteUpstreamFailure(digest, now);
     auto &entry = m_entries[digest];
     entry.failures = MaxUpstreamFailures;
-    entry.isTold = true;
+    entry.isFromSibling = true;
 }
 
 std::vector<std::uint64_t> PoisonRequestTable::poisonDigests(Core::Clock::Monotonic now) const
 {
     std::vector<std::uint64_t> digests;
     for (const auto &[digest, entry] : m_entries) {
-        if (!entry.isTold && isPoison(digest, now))
+        if (!entry.isFromSibling && isPoison(digest, now))
             digests.push_back(digest);
     }
     return digests;
@@ -46,18 +46,20 @@
 {
     const auto it = m_entries.find(digest);
     return it != m_entries.end() && it->second.failures >= MaxUpstreamFailures
-           && now - it->second.last < KeptTime;
+           && now - it->second.lastFailure < RetentionTime;
 }
 
-void PoisonRequestTable::dropOld(Core::Clock::Monotonic now)
+void PoisonRequestTable::removeExpired(Core::Clock::Monotonic now)
 {
-    std::erase_if(m_entries,
-                  [now](const auto &item) { return now - item.second.last >= KeptTime; });
-    if (m_entries.size() < MostEntries)
+    std::erase_if(m_entries, [now](const auto &item) {
+        return now - item.second.lastFailure >= RetentionTime;
+    });
+    if (m_entries.size() < MaxEntries)
         return;
     const auto oldest = std::min_element(
-        m_entries.begin(), m_entries.end(),
-        [](const auto &left, const auto &right) { return left.second.last < right.second.last; });
+        m_entries.begin(), m_entries.end(), [](const auto &left, const auto &right) {
+            return left.second.lastFailure < right.second.lastFailure;
+        });
     m_entries.erase(oldest);
 }
 
--- a/Libraries/LibGateway/PoisonRequestTable.h
+++ b/Libraries/LibGateway/PoisonRequestTable.h
@@ -30,11 +30,11 @@
     struct Entry
     {
         unsigned failures = 0;
-        bool isTold = false;
-        Core::Clock::Monotonic last;
+        bool isFromSibling = false;
+        Core::Clock::Monotonic lastFailure;
     };
 
-    void dropOld(Core::Clock::Monotonic now);
+    void removeExpired(Core::Clock::Monotonic now);
 
     std::unordered_map<std::uint64_t, Entry> m_entries;
 };
--- a/Libraries/LibGateway/PrefixCacheEstimate.cpp
+++ b/Libraries/LibGateway/PrefixCacheEstimate.cpp
@@ -15,13 +15,13 @@
 
 unsigned PrefixCacheEstimate::cachedTokens(std::span<const PromptPart> parts) const
 {
-    unsigned kept = 0;
+    unsigned cached = 0;
     for (const auto &part : parts) {
         if (!m_parts.contains(part.prefixHash))
             break;
-        kept += part.tokens;
+        cached += part.tokens;
     }
-    return kept;
+    return cached;
 }
 
 void PrefixCacheEstimate::noteUse(std::span<const PromptPart> parts)
@@ -30,29 +30,30 @@
     for (auto it = parts.rbegin(); it != parts.rend(); ++it) {
         const auto known = m_parts.find(it->prefixHash);
         if (known != m_parts.end()) {
-            m_order.splice(m_order.end(), m_order, known->second);
+            m_usageOrder.splice(m_usageOrder.end(), m_usageOrder, known->second);
             continue;
         }
-        m_order.push_back(*it);
-        m_parts[it->prefixHash] = std::prev(m_order.end());
+        m_usageOrder.push_back(*it);
+        m_parts[it->prefixHash] = std::prev(m_usageOrder.end());
         m_tokens += it->tokens;
     }
-    while (m_tokens > m_capacity && !m_order.empty()) {
-        m_tokens -= m_order.front().tokens;
-        m_parts.erase(m_order.front().prefixHash);
-        m_order.pop_front();
+    while (m_tokens > m_capacity && !m_usageOrder.empty()) {
+        m_tokens -= m_usageOrder.front().tokens;
+        m_parts.erase(m_usageOrder.front().prefixHash);
+        m_usageOrder.pop_front();
     }
 }
 
 std::vector<PromptPart> PrefixCacheEstimate::newest(std::size_t count) const
 {
-    const auto left = m_order.size() - std::min(count, m_order.size());
-    return {std::next(m_order.begin(), static_cast<std::ptrdiff_t>(left)), m_order.end()};
+    const auto skipped = m_usageOrder.size() - std::min(count, m_usageOrder.size());
+    return {std::next(m_usageOrder.begin(), static_cast<std::ptrdiff_t>(skipped)),
+            m_usageOrder.end()};
 }
 
 void PrefixCacheEstimate::clear()
 {
-    m_order.clear();
+    m_usageOrder.clear();
     m_parts.clear();
     m_tokens = 0;
 }
--- a/Libraries/LibGateway/PrefixCacheEstimate.h
+++ b/Libraries/LibGateway/PrefixCacheEstimate.h
@@ -37,12 +37,12 @@
 
 private:
     /// Until the configuration tells; what siblings say before that is worth keeping.
-    static constexpr std::uint64_t UnknownCapacity = 1'000'000;
-    using Order = std::list<PromptPart>;
+    static constexpr std::uint64_t InitialCapacity = 1'000'000;
+    using UsageOrder = std::list<PromptPart>;
 
-    Order m_order;
-    std::unordered_map<std::uint64_t, Order::iterator> m_parts;
-    std::uint64_t m_capacity = UnknownCapacity;
+    UsageOrder m_usageOrder;
+    std::unordered_map<std::uint64_t, UsageOrder::iterator> m_parts;
+    std::uint64_t m_capacity = InitialCapacity;
     std::uint64_t m_tokens = 0;
 };
 
--- a/Libraries/LibGateway/RequestLog.cpp
+++ b/Libraries/LibGateway/RequestLog.cpp
@@ -8,14 +8,14 @@
 
 constexpr double Percent = 100;
 
-template <typename Time>
-std::string milliseconds(Time time)
+template <typename Duration>
+std::string formatMilliseconds(Duration time)
 {
     return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(time).count());
 }
 
 template <typename Number>
-std::string whole(Number number)
+std::string formatInteger(Number number)
 {
     return std::to_string(static_cast<std::uint64_t>(number));
 }
@@ -34,7 +34,7 @@
          {"reason", refusal.reason},
          {"configuration",
           request.configuration ? std::to_string(request.configuration->version) : "none"},
-         {"age_ms", milliseconds(dependencies.configuration.age(dependencies.clock.now()))}});
+         {"age_ms", formatMilliseconds(dependencies.configuration.age(dependencies.clock.now()))}});
 }
 
 void logServed(Gateway &gateway, const AcceptedRequest &request, const RequestPlan &plan,
@@ -50,30 +50,30 @@
          {"tenant", request.tenantName()},
          {"upstream", plan.upstream->report().id.value()},
          {"sends", std::to_string(progress.sends)},
-         {"took_ms", milliseconds(now - request.arrival)},
-         {"first_ms", milliseconds(progress.firstByte.value_or(now) - request.arrival)},
-         {"expected_ms", milliseconds(engine.expectedFirst)},
+         {"took_ms", formatMilliseconds(now - request.arrival)},
+         {"first_ms", formatMilliseconds(progress.firstByte.value_or(now) - request.arrival)},
+         {"expected_ms", formatMilliseconds(engine.expectedFirst)},
          {"ready_tokens", std::to_string(engine.readyTokens)},
          {"kept_tokens", std::to_string(engine.cachedTokens)},
          {"shared_tokens", std::to_string(request.sharedTokens())},
          {"prompt_tokens", std::to_string(request.caller.promptTokens)},
          {"source", plan.fetchSource()},
-         {"tokens_per_ms", whole(gateway.engineModel(plan.service).tokensPerMillisecond())},
-         {"slowness_percent", whole(plan.upstream->slowness() * Percent)}});
+         {"tokens_per_ms", formatInteger(gateway.engineModel(plan.service).tokensPerMillisecond())},
+         {"slowness_percent", formatInteger(plan.upstream->slowness() * Percent)}});
 }
 
 void logAttempt(Gateway &gateway, const AcceptedRequest &request, const RequestPlan &plan,
                 const RequestProgress &progress, std::string_view end, const std::string &reason)
 {
     gateway.metrics().attempts.add(1, request.labels(), std::string(end));
-    Core::logEvent(
-        Core::EventId::AttemptFailed,
-        {{"request", request.caller.attemptId},
-         {"upstream", plan.upstream->report().id.value()},
-         {"end", std::string(end)},
-         {"reason", reason},
-         {"send", std::to_string(progress.sends)},
-         {"left_ms", milliseconds(request.remainingTime(gateway.dependencies().clock.now()))}});
+    Core::logEvent(Core::EventId::AttemptFailed,
+                   {{"request", request.caller.attemptId},
+                    {"upstream", plan.upstream->report().id.value()},
+                    {"end", std::string(end)},
+                    {"reason", reason},
+                    {"send", std::to_string(progress.sends)},
+                    {"left_ms", formatMilliseconds(
+                                    request.remainingTime(gateway.dependencies().clock.now()))}});
 }
 
 } // namespace Gateway
--- a/Libraries/LibGateway/RequestPlan.cpp
+++ b/Libraries/LibGateway/RequestPlan.cpp
@@ -13,23 +13,23 @@
 namespace {
 
 constexpr auto ShortRetryAfter = 300ms;
-constexpr auto LeastRetryAfter = 100ms;
+constexpr auto MinRetryAfter = 100ms;
 // Streams are given up by callers after this many times the target without a first event.
-constexpr double PatienceInTargets = 4;
+constexpr double MaxUrgentWaitTargets = 4;
 // What is less urgent waits for at most this part of its target: a longer queue serves no more
 // requests, and delays the urgent ones that share the engines' steps with it.
-constexpr double QueueInTargets = 0.5;
+constexpr double MaxQueueWaitTargets = 0.5;
 // Of a stream's time, this share may be spent on waiting for the first token.
 constexpr double FirstTokenShare = 0.85;
 // An engine with older weights is passed over from this part of the weights' bound on.
-constexpr double WeightsPatienceShare = 0.65;
+constexpr double MaxOutdatedShare = 0.65;
 // Connections beyond an equal share that may still be starting or closing.
 constexpr unsigned SpareInstances = 1;
 constexpr double BytesPerMegabit = 125'000;
 constexpr double MillisecondsPerSecond = 1'000;
 
 /// Draws one of the route's services by their weights.
-std::string drawService(Gateway &gateway, const Route &route)
+std::string pickService(Gateway &gateway, const Route &route)
 {
     std::vector<double> weights;
     for (const auto &entry : route.services)
@@ -60,8 +60,8 @@
     demand.model = request.caller.model;
     demand.isUrgent = isUrgent(*request.route, request.tenant);
     demand.targets = &dependencies.weights;
-    demand.weightsPatience =
-        duration_cast<milliseconds>(WeightsPatienceShare * dependencies.settings.weightsBound);
+    demand.maxOutdatedTime =
+        duration_cast<milliseconds>(MaxOutdatedShare * dependencies.settings.weightsBound);
     demand.slots = engine.slots;
     demand.memoryTokens = request.memoryTokens();
     demand.memoryCapacity = engine.cacheTokens;
@@ -69,21 +69,22 @@
     return demand;
 }
 
-std::optional<Refusal> refuseSlow(const AcceptedRequest &request, const EngineChoice &choice,
-                                  Core::Clock::Monotonic now)
+std::optional<Refusal> refuseIfTooSlow(const AcceptedRequest &request, const EngineChoice &choice,
+                                       Core::Clock::Monotonic now)
 {
     const auto &route = *request.route;
-    const auto most = isUrgent(route, request.tenant) ? PatienceInTargets : QueueInTargets;
-    const auto patience = std::min<EngineModel::Milliseconds>(
-        most * EngineModel::Milliseconds(route.target),
+    const auto maxTargets =
+        isUrgent(route, request.tenant) ? MaxUrgentWaitTargets : MaxQueueWaitTargets;
+    const auto waitLimit = std::min<EngineModel::Milliseconds>(
+        maxTargets * EngineModel::Milliseconds(route.target),
         FirstTokenShare * EngineModel::Milliseconds(request.remainingTime(now)));
-    if (choice.expectedFirst <= patience)
+    if (choice.expectedFirst <= waitLimit)
         return std::nullopt;
-    const auto wait = choice.expectedFirst - route.target;
+    const auto retryAfter = choice.expectedFirst - route.target;
     const auto expected = static_cast<std::uint64_t>(choice.expectedFirst.count());
     return Refusal {Core::ErrorKind::Overloaded,
                     "first token expected in " + std::to_string(expected) + " ms",
-                    std::max<milliseconds>(LeastRetryAfter, duration_cast<milliseconds>(wait))};
+                    std::max<milliseconds>(MinRetryAfter, duration_cast<milliseconds>(retryAfter))};
 }
 
 /// Whether the prompt's parts are worth a place in the store that does not have them yet.
@@ -108,7 +109,7 @@
     if (!chosen)
         return Refusal {Core::ErrorKind::NoUpstream, "no engine of " + service.name + " is free",
                         ShortRetryAfter};
-    if (auto refusal = refuseSlow(request, *chosen, limits.now))
+    if (auto refusal = refuseIfTooSlow(request, *chosen, limits.now))
         return std::move(*refusal);
     RequestPlan plan;
     plan.service = service.name;
@@ -133,7 +134,7 @@
     if (!engine || (!engine->source && !engine->isFromStore))
         return "none";
     const auto source = engine->isFromStore ? "store" : engine->source->report().id.value();
-    return (engine->isGuess ? "perhaps " : "") + source;
+    return (engine->isSpeculative ? "perhaps " : "") + source;
 }
 
 std::variant<RequestPlan, Refusal> planRequest(Gateway &gateway, const AcceptedRequest &request,
@@ -141,7 +142,7 @@
 {
     if (request.route->services.empty())
         return Refusal {Core::ErrorKind::NoUpstream, "the route has no service", {}};
-    const auto name = drawService(gateway, *request.route);
+    const auto name = pickService(gateway, *request.route);
     const auto *service = request.configuration->findService(name);
     if (!service)
         return Refusal {Core::ErrorKind::NoUpstream, "service " + name + " is not configured",
--- a/Libraries/LibGateway/RequestRelay.cpp
+++ b/Libraries/LibGateway/RequestRelay.cpp
@@ -22,17 +22,17 @@
 // Bytes that an upstream leaves unacknowledged for this long were sent to one that is gone.
 constexpr auto UnacknowledgedTimeout = 1'500ms;
 // A request that could not be sent is offered to this many upstreams in all.
-constexpr unsigned MostSends = 6;
+constexpr unsigned MaxSends = 6;
 constexpr std::size_t AnswerLimitBytes = 64 * 1024 * 1024;
 // Callers honour a Retry-After of up to a third of the time that they have left.
 constexpr int RetryAfterShare = 3;
 constexpr auto ShortRetryAfter = 300ms;
-constexpr auto LeastRetryAfter = 100ms;
+constexpr auto MinRetryAfter = 100ms;
 // Entries of the list lapse after this many reports that did not come.
-constexpr int LapsedReports = 3;
+constexpr int MaxMissedReports = 3;
 constexpr auto BusyPause = 120ms;
 // Shorter times to the first token say little about an engine's speed.
-constexpr EngineModel::Milliseconds LeastJudgedTime {20};
+constexpr EngineModel::Milliseconds MinSlownessSampleTime {20};
 
 std::string formatSeconds(milliseconds time)
 {
@@ -62,9 +62,9 @@
 
 asio::awaitable<void> RequestRelay::run()
 {
-    auto refusal = m_request.read(m_gateway.dependencies().dialect, m_exchange.request());
+    auto refusal = m_request.decode(m_gateway.dependencies().dialect, m_exchange.request());
     if (!refusal && m_gateway.isRefusing())
-        refusal = Refusal {Core::ErrorKind::Draining, "the instance ends", LeastRetryAfter};
+        refusal = Refusal {Core::ErrorKind::Draining, "the instance ends", MinRetryAfter};
     if (!refusal)
         refusal = m_request.authorize(m_gateway, m_exchange.request());
     if (refusal) {
@@ -73,10 +73,10 @@
     }
     m_timer = std::make_unique<asio::steady_timer>(co_await asio::this_coro::executor);
     startTimers();
-    co_await attempts();
+    co_await runAttempts();
 }
 
-std::optional<Refusal> RequestRelay::authorizeAgain()
+std::optional<Refusal> RequestRelay::reauthorize()
 {
     const auto before = m_request;
     auto denied = m_request.authorize(m_gateway, m_exchange.request());
@@ -91,33 +91,33 @@
     const auto guard = std::weak_ptr(m_isAlive);
     m_exchange.setCallerGoneHook([this, guard] {
         if (const auto alive = guard.lock(); alive && *alive)
-            endWith(EndReason::CallerGone);
+            cancel(CancelReason::CallerDisconnected);
     });
     m_timer->expires_after(remainingTime());
     m_timer->async_wait([this, guard](const auto &ec) {
         const auto alive = guard.lock();
         if (!ec && alive && *alive)
-            endWith(EndReason::TimeOver);
+            cancel(CancelReason::DeadlineExpired);
     });
 }
 
-void RequestRelay::endWith(EndReason reason)
+void RequestRelay::cancel(CancelReason reason)
 {
-    if (m_endReason != EndReason::None)
+    if (m_cancelReason != CancelReason::None)
         return;
-    m_endReason = reason;
+    m_cancelReason = reason;
     if (m_abort)
         m_abort->abort();
 }
 
-asio::awaitable<void> RequestRelay::attempts()
+asio::awaitable<void> RequestRelay::runAttempts()
 {
     bool isFirst = true;
     for (;;) {
         auto plan = planRequest(m_gateway, m_request, m_excluded);
         const auto *refusal = std::get_if<Refusal>(&plan);
-        if (refusal && (m_mayHaveRun || m_failure || m_exchange.hasStarted())) {
-            co_await finish(AttemptEnd::Broken);
+        if (refusal && (m_mayHaveExecuted || m_errorResponse || m_exchange.hasStarted())) {
+            co_await finish(AttemptEnd::Interrupted);
             co_return;
         }
         if (refusal) {
@@ -128,14 +128,14 @@
         if (isFirst)
             m_gateway.retries(m_plan->service).noteRequest(m_gateway.dependencies().clock.now());
         isFirst = false;
-        const auto end = co_await attempt();
-        if (end == AttemptEnd::Answered || !mayTryAgain(end)) {
+        const auto end = co_await runAttempt();
+        if (end == AttemptEnd::Answered || !mayRetry(end)) {
             co_await finish(end);
             co_return;
         }
         // A queued or repeated request is judged by the configuration in force when it is sent.
-        const auto denied = authorizeAgain();
-        if (denied && !m_mayHaveRun) {
+        const auto denied = reauthorize();
+        if (denied && !m_mayHaveExecuted) {
             co_await refuse(*denied);
             co_return;
         }
@@ -148,22 +148,22 @@
 
 bool RequestRelay::mayStillSend()
 {
-    if (m_endReason != EndReason::None)
+    if (m_cancelReason != CancelReason::None)
         return false;
     const auto &dependencies = m_gateway.dependencies();
-    if (m_plan->upstream->isGone() || m_plan->upstream->report().isDraining
+    if (m_plan->upstream->isRemoved() || m_plan->upstream->report().isDraining
         || m_plan->upstream->pausedUntil() > dependencies.clock.now())
         return false;
     const auto &current = dependencies.configuration.current();
     if (current == m_request.configuration)
-        return m_request.route->isPublic || current->tenants.empty() || m_gateway.knowsKeys();
+        return m_request.route->isPublic || current->tenants.empty() || m_gateway.hasUpToDateKeys();
     // Another version came in force since the choice; choose anew under it.
     return false;
 }
 
-bool RequestRelay::mayTryAgain(AttemptEnd end)
+bool RequestRelay::mayRetry(AttemptEnd end)
 {
-    if (m_endReason != EndReason::None || remainingTime() <= 0ms)
+    if (m_cancelReason != CancelReason::None || remainingTime() <= 0ms)
         return false;
     const auto &dependencies = m_gateway.dependencies();
     const auto mayRepeat = [&] {
@@ -173,48 +173,48 @@
     };
     switch (end) {
     case AttemptEnd::NotSent:
-        return m_progress.sends < MostSends;
-    case AttemptEnd::NotRun:
-        return m_progress.sends < MostSends && mayRepeat();
-    case AttemptEnd::Broken:
-    case AttemptEnd::FailedByUpstream:
-        return m_request.route->mayRunAgain() && m_runs < m_request.route->maxAttempts
+        return m_progress.sends < MaxSends;
+    case AttemptEnd::NotExecuted:
+        return m_progress.sends < MaxSends && mayRepeat();
+    case AttemptEnd::Interrupted:
+    case AttemptEnd::ServerError:
+        return m_request.route->mayRunAgain() && m_executions < m_request.route->maxAttempts
                && !m_gateway.poison().isPoison(m_request.digest, dependencies.clock.now())
                && mayRepeat();
-    case AttemptEnd::StreamBroken:
+    case AttemptEnd::StreamInterrupted:
         return m_request.route->mayRunAgain() && !m_events.lastId().empty()
-               && m_runs < m_request.route->maxAttempts && mayRepeat();
+               && m_executions < m_request.route->maxAttempts && mayRepeat();
     case AttemptEnd::Answered:
-    case AttemptEnd::Ended:
+    case AttemptEnd::Cancelled:
         return false;
     }
     return false;
 }
 
-asio::awaitable<RequestRelay::AttemptEnd> RequestRelay::attempt()
+asio::awaitable<RequestRelay::AttemptEnd> RequestRelay::runAttempt()
 {
     ++m_progress.sends;
     m_excluded.insert(m_plan->upstream->report().id);
-    const auto missed = m_plan->uncachedTokens(m_request);
+    const auto uncached = m_plan->uncachedTokens(m_request);
     if (m_plan->engine) {
         const auto total = totalTokens(m_request.parts);
         auto &metrics = m_gateway.metrics();
         metrics.promptTokens.add(total, m_request.labels());
-        metrics.cachedTokens.add(total - missed, m_request.labels());
+        metrics.cachedTokens.add(total - uncached, m_request.labels());
         metrics.expectedFirst.observe(
             duration_cast<std::chrono::nanoseconds>(m_plan->engine->expectedFirst),
             m_request.labels());
         const auto *service = m_request.configuration->findService(m_plan->service);
         m_plan->upstream->prefixCache().setCapacity(service->engine->cacheTokens);
     }
-    UpstreamLoad load(m_plan->upstream, missed, m_request.memoryTokens(),
+    UpstreamLoad load(m_plan->upstream, uncached, m_request.memoryTokens(),
                       isUrgent(*m_request.route, m_request.tenant),
                       m_gateway.dependencies().clock.now());
-    const auto end = co_await exchangeWith(load);
+    const auto end = co_await sendToUpstream(load);
     const auto now = m_gateway.dependencies().clock.now();
     if (end == AttemptEnd::Answered)
         m_plan->upstream->noteOutcome(true, now);
-    else if (end != AttemptEnd::Ended && end != AttemptEnd::NotRun)
+    else if (end != AttemptEnd::Cancelled && end != AttemptEnd::NotExecuted)
         m_plan->upstream->noteOutcome(false, now);
     co_return end;
 }
@@ -241,7 +241,7 @@
             dispatch.fetchFrom = store->endpoint();
         if (store && m_plan->isSaving)
             dispatch.saveTo = store->endpoint();
-        if (m_plan->engine->source && !m_plan->engine->source->isGone()
+        if (m_plan->engine->source && !m_plan->engine->source->isRemoved()
             && m_plan->engine->source->weights(m_request.caller.model) == weights)
             dispatch.fetchFrom = m_plan->engine->source->report().endpoint;
     }
@@ -252,20 +252,20 @@
                          request.body);
 }
 
-asio::awaitable<RequestRelay::AttemptEnd> RequestRelay::exchangeWith(UpstreamLoad &load)
+asio::awaitable<RequestRelay::AttemptEnd> RequestRelay::sendToUpstream(UpstreamLoad &load)
 {
     m_abort = std::make_shared<Http::CallAbort>();
-    if (m_endReason != EndReason::None)
+    if (m_cancelReason != CancelReason::None)
         m_abort->abort();
     Http::SendOptions options;
     // A kept connection that turns out closed leaves open whether the request ran.
     options.mayRepeat = false;
     options.abort = m_abort;
     options.unacknowledged = UnacknowledgedTimeout;
-    m_isWithdrawn = false;
+    m_isPlanOutdated = false;
     options.maySend = [this] {
-        m_isWithdrawn = !mayStillSend();
-        return !m_isWithdrawn;
+        m_isPlanOutdated = !mayStillSend();
+        return !m_isPlanOutdated;
     };
     // The deadline's timer ends the call; these only bound what it would forget.
     Http::ClientTimeouts timeouts;
@@ -282,30 +282,31 @@
     }
     if (failure && failure->kind() == Core::ErrorKind::UpstreamUnreachable) {
         noteAttempt("not_sent", failure->detail());
-        if (!m_isWithdrawn && m_endReason == EndReason::None)
+        if (!m_isPlanOutdated && m_cancelReason == CancelReason::None)
             noteUnreachable();
-        co_return m_endReason == EndReason::None ? AttemptEnd::NotSent : AttemptEnd::Ended;
+        co_return m_cancelReason == CancelReason::None ? AttemptEnd::NotSent
+                                                       : AttemptEnd::Cancelled;
     }
     // From here on bytes of the request may have reached the upstream.
-    const bool mayHaveRunBefore = std::exchange(m_mayHaveRun, true);
-    ++m_runs;
+    const bool mayHaveExecutedBefore = std::exchange(m_mayHaveExecuted, true);
+    ++m_executions;
     if (failure)
-        co_return noteBroken(*failure);
+        co_return noteInterrupted(*failure);
     const auto end = co_await relayAnswer(*answer, load);
-    if (end == AttemptEnd::NotRun) {
-        m_mayHaveRun = mayHaveRunBefore;
-        --m_runs;
+    if (end == AttemptEnd::NotExecuted) {
+        m_mayHaveExecuted = mayHaveExecutedBefore;
+        --m_executions;
     }
-    if (end != AttemptEnd::Answered && end != AttemptEnd::FailedByUpstream
-        && end != AttemptEnd::NotRun)
+    if (end != AttemptEnd::Answered && end != AttemptEnd::ServerError
+        && end != AttemptEnd::NotExecuted)
         answer->abort();
     co_return end;
 }
 
-RequestRelay::AttemptEnd RequestRelay::noteBroken(const Core::Error &error)
+RequestRelay::AttemptEnd RequestRelay::noteInterrupted(const Core::Error &error)
 {
-    if (m_endReason != EndReason::None)
-        return AttemptEnd::Ended;
+    if (m_cancelReason != CancelReason::None)
+        return AttemptEnd::Cancelled;
     m_hasTimedOut = error.kind() == Core::ErrorKind::UpstreamTimedOut;
     noteAttempt("broken", error.what());
     // Bytes that nobody acknowledges were sent to an upstream that is gone.
@@ -317,7 +318,7 @@
         if (m_gateway.onUpstreamFailure)
             m_gateway.onUpstreamFailure(m_request.digest);
     }
-    return m_exchange.hasStarted() ? AttemptEnd::StreamBroken : AttemptEnd::Broken;
+    return m_exchange.hasStarted() ? AttemptEnd::StreamInterrupted : AttemptEnd::Interrupted;
 }
 
 asio::awaitable<RequestRelay::AttemptEnd> RequestRelay::relayAnswer(Http::ClientExchange &answer,
@@ -329,7 +330,7 @@
                        {{"upstream", m_plan->upstream->report().id.value()},
                         {"request", m_request.caller.attemptId},
                         {"answered", head.attemptId}});
-        co_return noteBroken(
+        co_return noteInterrupted(
             Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "another's answer"));
     }
     std::optional<Core::Error> failure;
@@ -338,7 +339,7 @@
             noteRefusedByUpstream(answer.status(), head);
             // Taking the body in whole lets the connection serve on.
             while (co_await answer.readSome()) { }
-            co_return AttemptEnd::NotRun;
+            co_return AttemptEnd::NotExecuted;
         }
         if (head.weights && *head.weights > m_plan->upstream->weights(m_request.caller.model)) {
             m_plan->upstream->noteWeights(m_request.caller.model, *head.weights);
@@ -348,14 +349,15 @@
         auto headers = Http::withoutConnectionFields(answer.headers());
         const bool isSuccess = answer.status() < 300;
         if (!head.isSealed)
-            co_return noteBroken(Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "no seal"));
+            co_return noteInterrupted(
+                Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "no seal"));
         if (isSuccess && m_request.route->kind == RequestKind::Stream)
             co_return co_await relayStream(answer, std::move(headers), load);
         co_return co_await relayWhole(answer, std::move(headers));
     } catch (const Core::Error &error) {
         failure = error;
     }
-    co_return noteBroken(*failure);
+    co_return noteInterrupted(*failure);
 }
 
 void RequestRelay::noteUnreachable()
@@ -376,10 +378,10 @@
     if (head.isOtherUpstream && head.upstream != m_plan->upstream->report().id) {
         // Another life has the address; the entry of the one before has yet to lapse.
         m_plan->upstream->pauseUntil(
-            now + LapsedReports * m_gateway.dependencies().settings.reportInterval);
+            now + MaxMissedReports * m_gateway.dependencies().settings.reportInterval);
         if (m_gateway.onPause)
             m_gateway.onPause(*m_plan->upstream,
-                              LapsedReports * m_gateway.dependencies().settings.reportInterval);
+                              MaxMissedReports * m_gateway.dependencies().settings.reportInterval);
         return;
     }
     if (!m_plan->engine)
@@ -394,21 +396,21 @@
                                                                    Http::Headers headers)
 {
     Http::Response response(answer.status(), std::move(headers), {});
-    while (auto piece = co_await answer.readSome()) {
-        response.body += *piece;
+    while (auto chunk = co_await answer.readSome()) {
+        response.body += *chunk;
         if (response.body.size() > AnswerLimitBytes)
-            co_return noteBroken(
+            co_return noteInterrupted(
                 Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "too large"));
     }
     if (response.status >= 500) {
         noteAttempt("failed", std::to_string(response.status));
-        m_failure = std::move(response);
-        co_return m_exchange.hasStarted() ? AttemptEnd::StreamBroken : AttemptEnd::FailedByUpstream;
+        m_errorResponse = std::move(response);
+        co_return m_exchange.hasStarted() ? AttemptEnd::StreamInterrupted : AttemptEnd::ServerError;
     }
     if (m_exchange.hasStarted())
-        co_return AttemptEnd::StreamBroken;
-    if (m_endReason == EndReason::CallerGone)
-        co_return AttemptEnd::Ended;
+        co_return AttemptEnd::StreamInterrupted;
+    if (m_cancelReason == CancelReason::CallerDisconnected)
+        co_return AttemptEnd::Cancelled;
     m_gateway.metrics().firstByte.observe(m_gateway.dependencies().clock.now() - m_request.arrival,
                                           m_request.labels());
     co_await m_exchange.respond(std::move(response));
@@ -419,25 +421,26 @@
 RequestRelay::relayStream(Http::ClientExchange &answer, Http::Headers headers, UpstreamLoad &load)
 {
     m_events.dropPartialEvent();
-    while (auto piece = co_await answer.readSome()) {
-        const auto events = m_events.feed(*piece);
+    while (auto chunk = co_await answer.readSome()) {
+        const auto events = m_events.feed(*chunk);
         if (events.empty())
             continue;
         if (load.noteFirstToken())
-            learnFirstToken(load);
+            noteFirstToken(load);
         if (!m_exchange.hasStarted())
             co_await m_exchange.startStream(answer.status(), headers);
         co_await m_exchange.write(events);
     }
     if (m_events.hasPartialEvent())
-        co_return noteBroken(Core::Error(Core::ErrorKind::UpstreamFailed, "ended amid an event"));
+        co_return noteInterrupted(
+            Core::Error(Core::ErrorKind::UpstreamFailed, "ended amid an event"));
     if (!m_exchange.hasStarted())
         co_await m_exchange.startStream(answer.status(), headers);
     co_await m_exchange.finishStream();
     co_return AttemptEnd::Answered;
 }
 
-void RequestRelay::learnFirstToken(const UpstreamLoad &load)
+void RequestRelay::noteFirstToken(const UpstreamLoad &load)
 {
     const auto now = m_gateway.dependencies().clock.now();
     if (!m_progress.firstByte) {
@@ -455,12 +458,13 @@
         if (m_gateway.onPartsStored)
             m_gateway.onPartsStored(*store, stored);
     }
-    const EngineModel::Milliseconds taken = now - load.sent();
-    if (load.isAlone())
-        m_gateway.engineModel(m_plan->service).learn(static_cast<unsigned>(load.tokens()), taken);
-    const auto usual = m_plan->engine->expectedFirst / m_plan->upstream->slowness();
-    if (usual >= LeastJudgedTime)
-        m_plan->upstream->noteSlowness(taken / usual);
+    const EngineModel::Milliseconds elapsed = now - load.sent();
+    if (load.isOnlyPrompt())
+        m_gateway.engineModel(m_plan->service)
+            .addSample(static_cast<unsigned>(load.tokens()), elapsed);
+    const auto expected = m_plan->engine->expectedFirst / m_plan->upstream->slowness();
+    if (expected >= MinSlownessSampleTime)
+        m_plan->upstream->noteSlowness(elapsed / expected);
 }
 
 asio::awaitable<void> RequestRelay::finish(AttemptEnd end)
@@ -470,7 +474,7 @@
         logServed(m_gateway, m_request, *m_plan, m_progress);
         co_return;
     }
-    if (m_endReason == EndReason::CallerGone) {
+    if (m_cancelReason == CancelReason::CallerDisconnected) {
         m_gateway.metrics().requests.add(1, m_request.labels(), "caller_gone");
         Core::logEvent(Core::EventId::CallerWentAway, {{"request", m_request.caller.attemptId}});
         throw boost::system::system_error(asio::error::operation_aborted);
@@ -486,24 +490,24 @@
         // Closing the connection is the only way to say that the stream is not whole.
         throw boost::system::system_error(asio::error::connection_aborted);
     }
-    if (m_failure) {
+    if (m_errorResponse) {
         m_gateway.metrics().requests.add(1, m_request.labels(), "failed_by_upstream");
-        co_await m_exchange.respond(std::move(*m_failure));
+        co_await m_exchange.respond(std::move(*m_errorResponse));
         co_return;
     }
-    if (!m_mayHaveRun) {
+    if (!m_mayHaveExecuted) {
         // A named object, because GCC 12 destroys aggregate temporaries of a co_await twice.
         Refusal refusal {Core::ErrorKind::NoUpstream, "no upstream took the request",
                          ShortRetryAfter};
-        if (m_endReason == EndReason::TimeOver)
+        if (m_cancelReason == CancelReason::DeadlineExpired)
             refusal = {Core::ErrorKind::DeadlineUnreachable, "time is over", std::nullopt};
         co_await refuse(refusal);
         co_return;
     }
-    const bool isTimeOver = m_endReason == EndReason::TimeOver || m_hasTimedOut;
+    const bool isTimeout = m_cancelReason == CancelReason::DeadlineExpired || m_hasTimedOut;
     const auto kind =
-        isTimeOver ? Core::ErrorKind::UpstreamTimedOut : Core::ErrorKind::UpstreamFailed;
-    m_gateway.metrics().requests.add(1, m_request.labels(), isTimeOver ? "timed_out" : "failed");
+        isTimeout ? Core::ErrorKind::UpstreamTimedOut : Core::ErrorKind::UpstreamFailed;
+    m_gateway.metrics().requests.add(1, m_request.labels(), isTimeout ? "timed_out" : "failed");
     Core::logEvent(Core::EventId::RequestFailed,
                    {{"request", m_request.caller.attemptId},
                     {"route", m_request.route->name},
--- a/Libraries/LibGateway/RequestRelay.h
+++ b/Libraries/LibGateway/RequestRelay.h
@@ -36,40 +36,40 @@
         /// The caller has the whole answer.
         Answered,
         /// The upstream failed the request by its own answer, which is kept.
-        FailedByUpstream,
+        ServerError,
         /// Nothing was sent.
         NotSent,
         /// The upstream states that it did not run the request.
-        NotRun,
+        NotExecuted,
         /// Broken before any part of the answer reached the caller.
-        Broken,
+        Interrupted,
         /// Broken after events reached the caller.
-        StreamBroken,
+        StreamInterrupted,
         /// Nobody waits any more: the caller left or its time is over.
-        Ended,
+        Cancelled,
     };
-    enum class EndReason {
+    enum class CancelReason {
         None,
-        CallerGone,
-        TimeOver,
+        CallerDisconnected,
+        DeadlineExpired,
     };
     /// Judges the request anew before another attempt; keeps its route when that is denied.
-    std::optional<Refusal> authorizeAgain();
+    std::optional<Refusal> reauthorize();
     void startTimers();
-    void endWith(EndReason reason);
-    boost::asio::awaitable<void> attempts();
+    void cancel(CancelReason reason);
+    boost::asio::awaitable<void> runAttempts();
     bool mayStillSend();
-    bool mayTryAgain(AttemptEnd end);
-    boost::asio::awaitable<AttemptEnd> attempt();
-    boost::asio::awaitable<AttemptEnd> exchangeWith(UpstreamLoad &load);
+    bool mayRetry(AttemptEnd end);
+    boost::asio::awaitable<AttemptEnd> runAttempt();
+    boost::asio::awaitable<AttemptEnd> sendToUpstream(UpstreamLoad &load);
     boost::asio::awaitable<AttemptEnd> relayAnswer(Http::ClientExchange &answer,
                                                    UpstreamLoad &load);
     boost::asio::awaitable<AttemptEnd> relayWhole(Http::ClientExchange &answer,
                                                   Http::Headers headers);
     boost::asio::awaitable<AttemptEnd> relayStream(Http::ClientExchange &answer,
                                                    Http::Headers headers, UpstreamLoad &load);
-    void learnFirstToken(const UpstreamLoad &load);
-    AttemptEnd noteBroken(const Core::Error &error);
+    void noteFirstToken(const UpstreamLoad &load);
+    AttemptEnd noteInterrupted(const Core::Error &error);
     Http::Request upstreamRequest() const;
     boost::asio::awaitable<void> finish(AttemptEnd end);
     boost::asio::awaitable<void> refuse(const Refusal &refusal);
@@ -88,15 +88,15 @@
     std::optional<RequestPlan> m_plan;
     std::set<Core::UpstreamId> m_excluded;
     /// Upstreams that may have run the request.
-    unsigned m_runs = 0;
+    unsigned m_executions = 0;
     RequestProgress m_progress;
-    bool m_mayHaveRun = false;
-    std::optional<Http::Response> m_failure;
+    bool m_mayHaveExecuted = false;
+    std::optional<Http::Response> m_errorResponse;
     Http::EventSplitter m_events;
     bool m_hasTimedOut = false;
     /// Whether the last attempt was given up before its first byte, as the choice was outdated.
-    bool m_isWithdrawn = false;
-    EndReason m_endReason = EndReason::None;
+    bool m_isPlanOutdated = false;
+    CancelReason m_cancelReason = CancelReason::None;
 
     std::shared_ptr<Http::CallAbort> m_abort;
     std::unique_ptr<boost::asio::steady_timer> m_timer;
--- a/Libraries/LibGateway/RetryBudgetShare.cpp
+++ b/Libraries/LibGateway/RetryBudgetShare.cpp
@@ -17,10 +17,10 @@
 
 } // namespace
 
-RetryBudgetShare::Second &RetryBudgetShare::second(Core::Clock::Monotonic now)
+RetryBudgetShare::SecondCounts &RetryBudgetShare::countsAt(Core::Clock::Monotonic now)
 {
     const auto number = secondNumber(now);
-    auto &entry = m_seconds[static_cast<std::size_t>(number) % KeptSeconds];
+    auto &entry = m_seconds[static_cast<std::size_t>(number) % TrackedSeconds];
     if (entry.number != number)
         entry = {number, 0, 0};
     return entry;
@@ -28,10 +28,10 @@
 
 void RetryBudgetShare::noteRequest(Core::Clock::Monotonic now)
 {
-    ++second(now).requests;
+    ++countsAt(now).requests;
 }
 
-bool RetryBudgetShare::tryRepeat(const RetryBudgetLimits &bounds, std::optional<unsigned> instances,
+bool RetryBudgetShare::tryRepeat(const RetryBudgetLimits &limits, std::optional<unsigned> instances,
                                  Core::Clock::Monotonic now)
 {
     const auto newest = secondNumber(now);
@@ -40,17 +40,17 @@
     for (const auto &entry : m_seconds) {
         if (entry.number < 0 || entry.number > newest)
             continue;
-        if (entry.number > newest - bounds.window.count())
+        if (entry.number > newest - limits.window.count())
             requests += entry.requests;
         // One second more, since the bound's window may begin within it.
-        if (entry.number >= newest - bounds.window.count())
+        if (entry.number >= newest - limits.window.count())
             repeats += entry.repeats;
     }
-    const double slack = instances ? bounds.slack / std::max(1U, *instances) : 0;
-    const double allowed = UsedShare * (bounds.ratio * requests + slack);
-    if (repeats + 1 > allowed)
+    const double slack = instances ? limits.slack / std::max(1U, *instances) : 0;
+    const double maxRepeats = UsedShare * (limits.ratio * requests + slack);
+    if (repeats + 1 > maxRepeats)
         return false;
-    ++second(now).repeats;
+    ++countsAt(now).repeats;
     return true;
 }
 
--- a/Libraries/LibGateway/RetryBudgetShare.h
+++ b/Libraries/LibGateway/RetryBudgetShare.h
@@ -28,21 +28,21 @@
     void noteRequest(Core::Clock::Monotonic now);
     /// Takes one repeat. False when this instance's share is used up. While the number of instances
     /// is not known, an instance has no part of the slack.
-    bool tryRepeat(const RetryBudgetLimits &bounds, std::optional<unsigned> instances,
+    bool tryRepeat(const RetryBudgetLimits &limits, std::optional<unsigned> instances,
                    Core::Clock::Monotonic now);
 
 private:
-    struct Second
+    struct SecondCounts
     {
         std::int64_t number = -1;
         unsigned requests = 0;
         unsigned repeats = 0;
     };
-    static constexpr std::size_t KeptSeconds = 64;
+    static constexpr std::size_t TrackedSeconds = 64;
 
-    Second &second(Core::Clock::Monotonic now);
+    SecondCounts &countsAt(Core::Clock::Monotonic now);
 
-    std::array<Second, KeptSeconds> m_seconds;
+    std::array<SecondCounts, TrackedSeconds> m_seconds;
 };
 
 } // namespace Gateway
--- a/Libraries/LibGateway/Upstream.cpp
+++ b/Libraries/LibGateway/Upstream.cpp
@@ -12,12 +12,12 @@
 constexpr double SlownessGain = 0.1;
 // The failure share halves in this time without answers, so that an upstream is tried again.
 constexpr std::chrono::duration<double> FailureHalfLife {3.0};
-constexpr double LeastSlowness = 0.7;
+constexpr double MinSlowness = 0.7;
 constexpr double MaxSlowness = 4;
 // Two instances that cannot reach an upstream within this time are not cut off by chance.
 constexpr std::chrono::milliseconds UnreachableWindow {1'500};
 // Engines read prompts in pieces of about this size.
-constexpr std::uint64_t PieceTokens = 2'048;
+constexpr std::uint64_t PrefillChunkTokens = 2'048;
 
 } // namespace
 
@@ -27,16 +27,16 @@
 
 bool Upstream::update(UpstreamReport report)
 {
-    const bool isNewLife =
+    const bool isNewIncarnation =
         report.startTime != m_report.startTime || report.endpoint != m_report.endpoint;
-    const auto earlier = std::exchange(m_report, std::move(report));
-    if (isNewLife) {
+    const auto previous = std::exchange(m_report, std::move(report));
+    if (isNewIncarnation) {
         m_prefixCache.clear();
         m_failureShare = 0;
         m_slowness = 1;
         return true;
     }
-    for (const auto &[model, version] : earlier.weights) {
+    for (const auto &[model, version] : previous.weights) {
         auto &known = m_report.weights[model];
         // A report can be older than what an answer showed.
         known = std::max(known, version);
@@ -60,7 +60,7 @@
         m_waitingTokens.urgent -= std::min(m_waitingTokens.urgent, tokens);
 }
 
-void Upstream::freeMemory(std::uint64_t tokens)
+void Upstream::releaseMemory(std::uint64_t tokens)
 {
     m_memoryTokens -= std::min(m_memoryTokens, tokens);
 }
@@ -77,13 +77,13 @@
         return all;
     const auto urgent = m_waitingTokens.urgent + m_siblingLoad.waitingTokens.urgent;
     // What is being read is not put aside for an urgent request.
-    return urgent + std::min(all - urgent, PieceTokens);
+    return urgent + std::min(all - urgent, PrefillChunkTokens);
 }
 
-void Upstream::noteOutcome(bool isGood, Core::Clock::Monotonic now)
+void Upstream::noteOutcome(bool isSuccess, Core::Clock::Monotonic now)
 {
     m_failureShare = failureShare(now);
-    m_failureShare += FailureGain * ((isGood ? 0.0 : 1.0) - m_failureShare);
+    m_failureShare += FailureGain * ((isSuccess ? 0.0 : 1.0) - m_failureShare);
     m_lastOutcome = now;
 }
 
@@ -91,25 +91,25 @@
 {
     if (m_lastOutcome == Core::Clock::Monotonic::min())
         return 0;
-    const std::chrono::duration<double> passed = now - m_lastOutcome;
-    return m_failureShare * std::exp2(-passed / FailureHalfLife);
+    const std::chrono::duration<double> elapsed = now - m_lastOutcome;
+    return m_failureShare * std::exp2(-elapsed / FailureHalfLife);
 }
 
 void Upstream::noteSlowness(double sample)
 {
-    m_slowness += SlownessGain * (std::clamp(sample, LeastSlowness, MaxSlowness) - m_slowness);
+    m_slowness += SlownessGain * (std::clamp(sample, MinSlowness, MaxSlowness) - m_slowness);
 }
 
-void Upstream::noteUnreachable(const std::string &sibling, std::chrono::milliseconds time,
+void Upstream::noteUnreachable(const std::string &sibling, std::chrono::milliseconds pause,
                                Core::Clock::Monotonic now)
 {
-    const bool isConfirmed = m_unreachableSince != Core::Clock::Monotonic::min()
-                             && now - m_unreachableSince < UnreachableWindow
-                             && m_unreachableFrom != sibling;
-    m_unreachableFrom = sibling;
-    m_unreachableSince = now;
+    const bool isConfirmed = m_unreachableReportedAt != Core::Clock::Monotonic::min()
+                             && now - m_unreachableReportedAt < UnreachableWindow
+                             && m_unreachableReporter != sibling;
+    m_unreachableReporter = sibling;
+    m_unreachableReportedAt = now;
     if (isConfirmed)
-        m_pausedUntil = std::max(m_pausedUntil, now + time);
+        m_pausedUntil = std::max(m_pausedUntil, now + pause);
 }
 
 std::uint64_t Upstream::weights(const std::string &model) const
--- a/Libraries/LibGateway/Upstream.h
+++ b/Libraries/LibGateway/Upstream.h
@@ -40,13 +40,13 @@
     /// Takes a newer report of the same upstream. Returns whether another life of it began.
     bool update(UpstreamReport report);
     /// Whether it left the list, so that nothing new goes to it.
-    bool isGone() const { return m_isGone; }
-    void setGone() { m_isGone = true; }
+    bool isRemoved() const { return m_isRemoved; }
+    void setRemoved() { m_isRemoved = true; }
 
     /// Tokens that this instance's requests hold in its memory, or will when they run.
     std::uint64_t memoryTokens() const { return m_memoryTokens; }
-    void takeMemory(std::uint64_t tokens) { m_memoryTokens += tokens; }
-    void freeMemory(std::uint64_t tokens);
+    void reserveMemory(std::uint64_t tokens) { m_memoryTokens += tokens; }
+    void releaseMemory(std::uint64_t tokens);
     /// The same of all instances.
     std::uint64_t allMemoryTokens() const { return m_memoryTokens + m_siblingLoad.memoryTokens; }
 
@@ -67,7 +67,7 @@
     unsigned allInFlight() const { return m_inFlight + m_siblingLoad.inFlight; }
 
     /// How the answers ended, for judging by what it does rather than by what it says.
-    void noteOutcome(bool isGood, Core::Clock::Monotonic now);
+    void noteOutcome(bool isSuccess, Core::Clock::Monotonic now);
     /// A share from 0 to 1 of recent requests that failed; fades with time.
     double failureShare(Core::Clock::Monotonic now) const;
 
@@ -87,7 +87,7 @@
 
     /// Notes that another instance could not reach it. One that says so may be cut off itself; when
     /// two say so within a while, nothing new goes there for the given time.
-    void noteUnreachable(const std::string &sibling, std::chrono::milliseconds time,
+    void noteUnreachable(const std::string &sibling, std::chrono::milliseconds pause,
                          Core::Clock::Monotonic now);
 
     /// Until when an order keeps it from beginning requests.
@@ -106,9 +106,9 @@
     double m_slowness = 1;
     Core::Clock::Monotonic m_pausedUntil = Core::Clock::Monotonic::min();
     /// The last sibling that could not reach it, and when.
-    std::string m_unreachableFrom;
-    Core::Clock::Monotonic m_unreachableSince = Core::Clock::Monotonic::min();
-    bool m_isGone = false;
+    std::string m_unreachableReporter;
+    Core::Clock::Monotonic m_unreachableReportedAt = Core::Clock::Monotonic::min();
+    bool m_isRemoved = false;
 };
 
 } // namespace Gateway
--- a/Libraries/LibGateway/UpstreamChooser.cpp
+++ b/Libraries/LibGateway/UpstreamChooser.cpp
@@ -14,17 +14,17 @@
 // An engine with all slots taken makes a request wait for a run to end.
 constexpr Milliseconds FullSlotCost {40};
 // A request on weights older than the named ones loses a part of its worth after a while.
-constexpr Milliseconds OldWeightsCost {300};
-constexpr std::chrono::milliseconds OldWeightsGrace {1'000};
+constexpr Milliseconds OutdatedWeightsCost {300};
+constexpr std::chrono::milliseconds OutdatedWeightsGrace {1'000};
 // What the tokens that an engine has to read cost the others that wait for it.
-constexpr double SharedCost = 1.0;
+constexpr double PrefillDelayWeight = 1.0;
 // The preferred engine is taken to keep this share of a session's parts, as others may have sent
 // them.
-constexpr double HomeCredit = 0.5;
+constexpr double AffinityCredit = 0.5;
 constexpr double FailureWeight = 20;
 // A fetch costs a call to the source; fewer tokens are read sooner.
-constexpr unsigned LeastFetchTokens = 128;
-constexpr double MostSourceFailures = 0.3;
+constexpr unsigned MinFetchTokens = 128;
+constexpr double MaxSourceFailureShare = 0.3;
 // Runs of long answers end, and free their memory, within about this time.
 constexpr Milliseconds MemoryTurnover {3'000};
 
@@ -55,44 +55,45 @@
 }
 
 /// The engine that keeps the most of the prompt among those with the same weights.
-struct Holder
+struct BestCache
 {
     std::shared_ptr<Upstream> engine;
     unsigned tokens = 0;
 };
 
 /// The best holder for each version of the weights.
-std::map<std::uint64_t, Holder> findHolders(const UpstreamFleet::Members &members,
-                                            const EngineDemand &demand, const ChoiceLimits &limits)
+std::map<std::uint64_t, BestCache> findBestCaches(const UpstreamFleet::Members &members,
+                                                  const EngineDemand &demand,
+                                                  const ChoiceLimits &limits)
 {
-    std::map<std::uint64_t, Holder> holders;
+    std::map<std::uint64_t, BestCache> bestCaches;
     for (const auto &member : members) {
         // A source that fails costs a fetch some hundred milliseconds.
-        if (member->isGone() || member->failureShare(limits.now) > MostSourceFailures)
+        if (member->isRemoved() || member->failureShare(limits.now) > MaxSourceFailureShare)
             continue;
-        auto &holder = holders[member->weights(demand.model)];
+        auto &bestCache = bestCaches[member->weights(demand.model)];
         const auto tokens = member->prefixCache().cachedTokens(demand.parts);
-        const bool isBetter = tokens > holder.tokens
-                              || (tokens == holder.tokens && holder.engine && tokens > 0
-                                  && member->inFlight() < holder.engine->inFlight());
+        const bool isBetter = tokens > bestCache.tokens
+                              || (tokens == bestCache.tokens && bestCache.engine && tokens > 0
+                                  && member->inFlight() < bestCache.engine->inFlight());
         if (isBetter)
-            holder = {member, tokens};
+            bestCache = {member, tokens};
     }
-    return holders;
+    return bestCaches;
 }
 
 /// How long a request waits for runs to end until it finds room in the engine's memory.
 Milliseconds memoryWait(const Upstream &engine, const EngineDemand &demand)
 {
-    const auto wanted = engine.allMemoryTokens() + demand.memoryTokens;
-    if (demand.memoryCapacity == 0 || wanted <= demand.memoryCapacity)
+    const auto needed = engine.allMemoryTokens() + demand.memoryTokens;
+    if (demand.memoryCapacity == 0 || needed <= demand.memoryCapacity)
         return Milliseconds(0);
-    const auto excess = static_cast<double>(wanted - demand.memoryCapacity);
+    const auto excess = static_cast<double>(needed - demand.memoryCapacity);
     return MemoryTurnover * (excess / static_cast<double>(demand.memoryCapacity));
 }
 
-EngineChoice expectedAt(const std::shared_ptr<Upstream> &engine, const EngineModel &model,
-                        const EngineDemand &demand, const Holder &holder)
+EngineChoice estimateChoice(const std::shared_ptr<Upstream> &engine, const EngineModel &model,
+                            const EngineDemand &demand, const BestCache &bestCache)
 {
     EngineChoice choice;
     choice.upstream = engine;
@@ -103,15 +104,15 @@
     // Engines forget what the store still holds, so the store goes first where both have it.
     const auto stored =
         demand.store ? demand.store->storedTokens(demand.parts, engine->weights(demand.model)) : 0;
-    const bool isFromStore = stored > 0 && stored >= holder.tokens;
-    const auto most = std::min(std::max(stored, holder.tokens), demand.promptTokens);
-    const bool hasSource = isFromStore || (holder.engine && holder.engine != engine);
+    const bool isFromStore = stored > 0 && stored >= bestCache.tokens;
+    const auto available = std::min(std::max(stored, bestCache.tokens), demand.promptTokens);
+    const bool hasSource = isFromStore || (bestCache.engine && bestCache.engine != engine);
     if (demand.fetchTokensPerMillisecond > 0 && hasSource
-        && most > choice.cachedTokens + LeastFetchTokens) {
+        && available > choice.cachedTokens + MinFetchTokens) {
         choice.isFromStore = isFromStore;
-        choice.source = isFromStore ? nullptr : holder.engine;
-        choice.readyTokens = most;
-        fetch = Milliseconds((most - choice.cachedTokens) / demand.fetchTokensPerMillisecond);
+        choice.source = isFromStore ? nullptr : bestCache.engine;
+        choice.readyTokens = available;
+        fetch = Milliseconds((available - choice.cachedTokens) / demand.fetchTokensPerMillisecond);
     }
     const auto tokens =
         engine->tokensAhead(demand.isUrgent) + demand.promptTokens - choice.readyTokens;
@@ -122,22 +123,22 @@
 
 /// Names a source that may keep the session's parts where none is known to. The expected time does
 /// not count on it.
-void guessSource(EngineChoice &choice, const EngineDemand &demand, const ChoiceLimits &limits,
-                 const std::shared_ptr<Upstream> &preferred)
+void setSpeculativeSource(EngineChoice &choice, const EngineDemand &demand,
+                          const ChoiceLimits &limits, const std::shared_ptr<Upstream> &preferred)
 {
     const bool isKnown = choice.source || choice.isFromStore;
     if (isKnown || demand.fetchTokensPerMillisecond <= 0
-        || demand.sharedTokens <= choice.cachedTokens + LeastFetchTokens)
+        || demand.sharedTokens <= choice.cachedTokens + MinFetchTokens)
         return;
     const bool isRemote =
         preferred && preferred != choice.upstream
         && preferred->weights(demand.model) == choice.upstream->weights(demand.model)
-        && preferred->failureShare(limits.now) <= MostSourceFailures;
+        && preferred->failureShare(limits.now) <= MaxSourceFailureShare;
     if (isRemote)
         choice.source = preferred;
     else if (demand.store && demand.sharedTokens >= KvCacheStore::LeastTokens)
         choice.isFromStore = true;
-    choice.isGuess = choice.source || choice.isFromStore;
+    choice.isSpeculative = choice.source || choice.isFromStore;
 }
 
 Milliseconds cost(const EngineChoice &choice, const EngineModel &model, const EngineDemand &demand,
@@ -146,24 +147,24 @@
     const auto &upstream = *choice.upstream;
     const double rate = model.tokensPerMillisecond();
     auto sum = choice.expectedFirst
-               + SharedCost * upstream.slowness()
+               + PrefillDelayWeight * upstream.slowness()
                      * Milliseconds((demand.promptTokens - choice.readyTokens) / rate);
     sum += upstream.failureShare(limits.now) * FailureCost;
     const auto running = upstream.allInFlight();
     if (running >= demand.slots)
         sum += (running - demand.slots + 1.0) * FullSlotCost;
-    if (isOutdated(upstream, demand, OldWeightsGrace, limits.now))
-        sum += OldWeightsCost;
+    if (isOutdated(upstream, demand, OutdatedWeightsGrace, limits.now))
+        sum += OutdatedWeightsCost;
     if (isPreferred && choice.readyTokens < demand.sharedTokens)
-        sum -= HomeCredit * Milliseconds((demand.sharedTokens - choice.readyTokens) / rate);
+        sum -= AffinityCredit * Milliseconds((demand.sharedTokens - choice.readyTokens) / rate);
     return sum;
 }
 
 } // namespace
 
-bool takesRequests(const Upstream &upstream, const ChoiceLimits &limits)
+bool mayReceiveRequests(const Upstream &upstream, const ChoiceLimits &limits)
 {
-    return !upstream.isGone() && !upstream.report().isDraining
+    return !upstream.isRemoved() && !upstream.report().isDraining
            && upstream.pausedUntil() <= limits.now && upstream.inFlight() < limits.maxInFlight
            && !limits.excluded.contains(upstream.report().id);
 }
@@ -174,17 +175,17 @@
 {
     UpstreamFleet::Members candidates;
     for (const auto &member : members) {
-        if (takesRequests(*member, limits)
-            && !isOutdated(*member, demand, demand.weightsPatience, limits.now))
+        if (mayReceiveRequests(*member, limits)
+            && !isOutdated(*member, demand, demand.maxOutdatedTime, limits.now))
             candidates.push_back(member);
     }
     const auto preferred = preferredUpstreamOf(candidates, demand.affinityKey);
-    auto holders = findHolders(members, demand, limits);
+    auto bestCaches = findBestCaches(members, demand, limits);
     std::optional<EngineChoice> best;
     Milliseconds bestCost {0};
     for (const auto &candidate : candidates) {
-        const auto &holder = holders[candidate->weights(demand.model)];
-        auto choice = expectedAt(candidate, model, demand, holder);
+        const auto &bestCache = bestCaches[candidate->weights(demand.model)];
+        auto choice = estimateChoice(candidate, model, demand, bestCache);
         const auto sum = cost(choice, model, demand, limits, candidate == preferred);
         if (!best || sum < bestCost) {
             best = std::move(choice);
@@ -192,7 +193,7 @@
         }
     }
     if (best)
-        guessSource(*best, demand, limits, preferred);
+        setSpeculativeSource(*best, demand, limits, preferred);
     return best;
 }
 
@@ -201,7 +202,7 @@
 {
     std::vector<std::shared_ptr<Upstream>> candidates;
     for (const auto &member : members) {
-        if (takesRequests(*member, limits))
+        if (mayReceiveRequests(*member, limits))
             candidates.push_back(member);
     }
     if (candidates.empty())
--- a/Libraries/LibGateway/UpstreamChooser.h
+++ b/Libraries/LibGateway/UpstreamChooser.h
@@ -37,7 +37,7 @@
     /// The weights that were named; null when none matter.
     const WeightsTargets *targets = nullptr;
     /// Engines whose weights have been outdated for longer are passed over.
-    std::chrono::milliseconds weightsPatience {0};
+    std::chrono::milliseconds maxOutdatedTime {0};
     unsigned slots = 1;
     /// Tokens of an engine's memory that the request will hold, and all that an engine has.
     std::uint64_t memoryTokens = 0;
@@ -60,7 +60,7 @@
     /// Whether the store of parts holds more, and is the source instead.
     bool isFromStore = false;
     /// Whether the source is only guessed to have what others may have read.
-    bool isGuess = false;
+    bool isSpeculative = false;
     /// Leading tokens that are believed to need no reading, with what is fetched.
     unsigned readyTokens = 0;
     EngineModel::Milliseconds expectedFirst {0};
@@ -81,6 +81,6 @@
                                         const ChoiceLimits &limits, std::minstd_rand &random);
 
 /// Whether anything new may go to the upstream at all.
-bool takesRequests(const Upstream &upstream, const ChoiceLimits &limits);
+bool mayReceiveRequests(const Upstream &upstream, const ChoiceLimits &limits);
 
 } // namespace Gateway
--- a/Libraries/LibGateway/UpstreamFleet.cpp
+++ b/Libraries/LibGateway/UpstreamFleet.cpp
@@ -29,7 +29,7 @@
         Core::logEvent(Core::EventId::UpstreamLeaving,
                        {{"upstream", known.id.value()}, {"reason", "draining"}});
     if (report.service != known.service) {
-        unlist(upstream);
+        removeFromService(upstream);
         m_byService[report.service].push_back(upstream);
     }
     if (upstream->update(std::move(report)))
@@ -42,8 +42,8 @@
     if (it == m_all.end())
         return;
     const auto upstream = it->second;
-    upstream->setGone();
-    unlist(upstream);
+    upstream->setRemoved();
+    removeFromService(upstream);
     m_byHash.erase(hashOf(id));
     m_all.erase(it);
     Core::logEvent(Core::EventId::UpstreamLeaving,
@@ -74,7 +74,7 @@
     return Core::hash64(id.value());
 }
 
-void UpstreamFleet::unlist(const std::shared_ptr<Upstream> &upstream)
+void UpstreamFleet::removeFromService(const std::shared_ptr<Upstream> &upstream)
 {
     auto &members = m_byService[upstream->report().service];
     members.erase(std::remove(members.begin(), members.end(), upstream), members.end());
--- a/Libraries/LibGateway/UpstreamFleet.h
+++ b/Libraries/LibGateway/UpstreamFleet.h
@@ -31,7 +31,7 @@
     const std::map<Core::UpstreamId, std::shared_ptr<Upstream>> &all() const { return m_all; }
 
 private:
-    void unlist(const std::shared_ptr<Upstream> &upstream);
+    void removeFromService(const std::shared_ptr<Upstream> &upstream);
 
     std::map<Core::UpstreamId, std::shared_ptr<Upstream>> m_all;
     std::map<std::string, Members> m_byService;
--- a/Libraries/LibGateway/UpstreamLoad.h
+++ b/Libraries/LibGateway/UpstreamLoad.h
@@ -16,16 +16,16 @@
         , m_tokens(tokens)
         , m_memoryTokens(memoryTokens)
         , m_isUrgent(isUrgent)
-        , m_isAlone(m_upstream->tokensAhead(false) == 0)
+        , m_isOnlyPrompt(m_upstream->tokensAhead(false) == 0)
         , m_sent(now)
     {
         m_upstream->noteSent(m_tokens, m_isUrgent);
-        m_upstream->takeMemory(m_memoryTokens);
+        m_upstream->reserveMemory(m_memoryTokens);
     }
     ~UpstreamLoad()
     {
         noteFirstToken();
-        m_upstream->freeMemory(m_memoryTokens);
+        m_upstream->releaseMemory(m_memoryTokens);
         m_upstream->noteEnd();
     }
     UpstreamLoad(const UpstreamLoad &) = delete;
@@ -42,7 +42,7 @@
     }
     std::uint64_t tokens() const { return m_tokens; }
     /// Whether the upstream had no other prompt to read when this one was sent.
-    bool isAlone() const { return m_isAlone; }
+    bool isOnlyPrompt() const { return m_isOnlyPrompt; }
     Core::Clock::Monotonic sent() const { return m_sent; }
 
 private:
@@ -50,7 +50,7 @@
     std::uint64_t m_tokens;
     std::uint64_t m_memoryTokens;
     bool m_isUrgent;
-    bool m_isAlone;
+    bool m_isOnlyPrompt;
     bool m_hasFirstToken = false;
     Core::Clock::Monotonic m_sent;
 };
--- a/Libraries/LibGateway/Urgency.cpp
+++ b/Libraries/LibGateway/Urgency.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr int MostUrgency = 9;
+constexpr int MaxUrgencyLevel = 9;
 // Levels of urgency for each priority.
 constexpr int LevelsPerPriority = 3;
 
@@ -22,7 +22,7 @@
     const int priority = effectivePriority(route, tenant);
     const int level =
         LevelsPerPriority * priority + (isLate ? 1 : 0) + (route.priority > priority ? 1 : 0);
-    return std::clamp(level, 0, MostUrgency);
+    return std::clamp(level, 0, MaxUrgencyLevel);
 }
 
 bool isUrgent(const Route &route, const Tenant *tenant)
--- a/Libraries/LibGateway/WeightsRollout.cpp
+++ b/Libraries/LibGateway/WeightsRollout.cpp
@@ -15,23 +15,23 @@
 
 namespace {
 
-constexpr auto IdlePause = 30ms;
-constexpr auto StatePause = 60ms;
+constexpr auto IdleInterval = 30ms;
+constexpr auto StateInterval = 60ms;
 // A lease is renewed while this much of it is left, and no order goes out in its last part.
 constexpr auto RenewMargin = 700ms;
 constexpr auto OrderMargin = 300ms;
 // Instances try for a free lease one after the other, so that most calls are not in vain.
-constexpr auto TurnStep = 60ms;
+constexpr auto TurnInterval = 60ms;
 // An engine that carries out an order refuses requests; what was sent before the order goes first.
-constexpr auto HoldTime = 2'500ms;
+constexpr auto PauseTime = 2'500ms;
 // What siblings sent before they heard of the pause gets time to begin at the engine.
-constexpr std::chrono::milliseconds LeastHoldNotice = 20ms;
-constexpr std::chrono::milliseconds MostHoldNotice = 300ms;
-constexpr auto MostOrderTime = 3'000ms;
-constexpr auto ConflictPause = 250ms;
-constexpr auto FailurePause = 1'000ms;
+constexpr std::chrono::milliseconds MinPauseNotice = 20ms;
+constexpr std::chrono::milliseconds MaxPauseNotice = 300ms;
+constexpr auto MaxOrderTime = 3'000ms;
+constexpr auto ConflictBackOff = 250ms;
+constexpr auto FailureBackOff = 1'000ms;
 // The part of the engines that take weights at the same time. More would leave too few to serve.
-constexpr std::size_t RollingPart = 2;
+constexpr std::size_t RollingDivisor = 2;
 
 } // namespace
 
@@ -67,20 +67,21 @@
 asio::awaitable<void> WeightsRollout::run()
 {
     for (;;) {
-        co_await sleepFor(IdlePause);
-        auto open = tasks();
-        if (open.empty() && m_running == 0)
+        co_await sleepFor(IdleInterval);
+        auto pending = tasks();
+        if (pending.empty() && m_running == 0)
             continue;
-        const auto named = open.empty() ? m_dependencies.clock.now() : open.front().since;
-        const bool isHolder = co_await ensureLease(named);
+        const auto targetSince =
+            pending.empty() ? m_dependencies.clock.now() : pending.front().since;
+        const bool isHolder = co_await ensureLease(targetSince);
         if (!isHolder)
             continue;
         std::size_t engines = 0;
         for (const auto &[id, engine] : m_dependencies.fleet.all())
             engines += engine->report().weights.empty() ? 0 : 1;
-        const auto most = std::max<std::size_t>(1, engines / RollingPart);
-        for (auto &task : open) {
-            if (m_running >= most)
+        const auto maxRunning = std::max<std::size_t>(1, engines / RollingDivisor);
+        for (auto &task : pending) {
+            if (m_running >= maxRunning)
                 break;
             ++m_running;
             m_isRolling[task.engine->report().id] = true;
@@ -90,21 +91,21 @@
     }
 }
 
-bool WeightsRollout::isTurn(Core::Clock::Monotonic named) const
+bool WeightsRollout::isTurn(Core::Clock::Monotonic targetSince) const
 {
     // Members that do not answer would only make the others wait for their turn.
     const auto before = m_dependencies.members.reachableBefore("orders");
-    return m_dependencies.clock.now() >= named + before * TurnStep;
+    return m_dependencies.clock.now() >= targetSince + before * TurnInterval;
 }
 
-asio::awaitable<bool> WeightsRollout::ensureLease(Core::Clock::Monotonic named)
+asio::awaitable<bool> WeightsRollout::ensureLease(Core::Clock::Monotonic targetSince)
 {
     const auto now = m_dependencies.clock.now();
     const auto &lease = m_dependencies.journal.lease();
     if (lease.token(now, RenewMargin))
         co_return true;
     const bool isOwn = lease.lastHolder() == m_dependencies.self;
-    if (!lease.mayTake(now) || (!isOwn && !isTurn(named)))
+    if (!lease.mayTake(now) || (!isOwn && !isTurn(targetSince)))
         co_return false;
     co_return co_await m_dependencies.journal.takeLease();
 }
@@ -113,7 +114,7 @@
 {
     std::string failure;
     try {
-        const bool isOrdered = co_await giveOrder(task);
+        const bool isOrdered = co_await sendOrder(task);
         if (isOrdered)
             co_await awaitWeights(task);
     } catch (const Core::Error &error) {
@@ -124,7 +125,7 @@
         Core::logEvent(Core::EventId::OrderUnanswered,
                        {{"upstream", id.value()}, {"reason", failure}});
         m_dependencies.metrics.orders.add(1, {}, "unanswered");
-        backOff(task, FailurePause);
+        backOff(task, FailureBackOff);
     }
     task.engine->pauseUntil(Core::Clock::Monotonic::min());
     if (onPause)
@@ -153,7 +154,7 @@
 asio::awaitable<void> WeightsRollout::refresh(std::shared_ptr<Upstream> engine)
 {
     const auto id = engine->report().id;
-    if (!m_isAsked.try_emplace(id, true).second)
+    if (!m_isRefreshing.try_emplace(id, true).second)
         co_return;
     try {
         co_await stateOf(*engine);
@@ -161,24 +162,24 @@
         Core::logEvent(Core::EventId::OrderUnanswered,
                        {{"upstream", id.value()}, {"reason", error.what()}});
     }
-    m_isAsked.erase(id);
+    m_isRefreshing.erase(id);
 }
 
-asio::awaitable<bool> WeightsRollout::giveOrder(const Task &task)
+asio::awaitable<bool> WeightsRollout::sendOrder(const Task &task)
 {
     const auto &id = task.engine->report().id;
     const auto state = co_await stateOf(*task.engine);
     if (task.engine->weights(task.model) >= task.version)
         co_return false;
     if (state.isBusy) {
-        backOff(task, ConflictPause);
+        backOff(task, ConflictBackOff);
         co_return false;
     }
-    task.engine->pauseUntil(m_dependencies.clock.now() + HoldTime);
+    task.engine->pauseUntil(m_dependencies.clock.now() + PauseTime);
     if (onPause)
-        onPause(*task.engine, HoldTime);
+        onPause(*task.engine, PauseTime);
     // An order ends the wait of what has not begun; those requests would have to go elsewhere.
-    co_await sleepFor(timeToBegin(*task.engine));
+    co_await sleepFor(timeUntilStarted(*task.engine));
     const auto token =
         m_dependencies.journal.lease().token(m_dependencies.clock.now(), OrderMargin);
     if (!token)
@@ -188,7 +189,7 @@
     order.version = task.version;
     order.holder = m_dependencies.self.value();
     order.fencingToken = *token;
-    order.expectedOrders = std::max(state.ordersAccepted, m_accepted[id]);
+    order.expectedOrders = std::max(state.ordersAccepted, m_acceptedOrders[id]);
     const auto outcome = co_await m_dependencies.engines.order(task.engine->report(), order);
     Core::logEvent(Core::EventId::OrderSent,
                    {{"upstream", id.value()},
@@ -198,49 +199,50 @@
                     {"outcome", std::to_string(static_cast<int>(outcome))}});
     if (outcome == OrderOutcome::Accepted) {
         m_dependencies.metrics.orders.add(1, {}, "accepted");
-        m_accepted[id] = order.expectedOrders + 1;
+        m_acceptedOrders[id] = order.expectedOrders + 1;
         co_return true;
     }
     m_dependencies.metrics.orders.add(1, {}, "refused");
     // Another life of the engine counts anew, and its own word is as good as ours then.
-    m_accepted.erase(id);
+    m_acceptedOrders.erase(id);
     if (outcome == OrderOutcome::AlreadyInForce) {
-        EngineState holds;
-        holds.weights[task.model] = task.version;
-        noteWeights(*task.engine, holds);
+        EngineState loaded;
+        loaded.weights[task.model] = task.version;
+        noteWeights(*task.engine, loaded);
     }
-    backOff(task, ConflictPause);
+    backOff(task, ConflictBackOff);
     co_return false;
 }
 
-std::chrono::milliseconds WeightsRollout::timeToBegin(const Upstream &engine) const
+std::chrono::milliseconds WeightsRollout::timeUntilStarted(const Upstream &engine) const
 {
     const auto tokens = engine.tokensAhead(false);
-    const auto reading = m_dependencies.expectedFirst ? m_dependencies.expectedFirst(engine, tokens)
-                                                      : EngineModel::Milliseconds(0);
-    return std::clamp(std::chrono::ceil<std::chrono::milliseconds>(reading), LeastHoldNotice,
-                      MostHoldNotice);
+    const auto prefillTime = m_dependencies.expectedFirst
+                                 ? m_dependencies.expectedFirst(engine, tokens)
+                                 : EngineModel::Milliseconds(0);
+    return std::clamp(std::chrono::ceil<std::chrono::milliseconds>(prefillTime), MinPauseNotice,
+                      MaxPauseNotice);
 }
 
 asio::awaitable<void> WeightsRollout::awaitWeights(const Task &task)
 {
-    const auto begin = m_dependencies.clock.now();
-    while (m_dependencies.clock.now() - begin < MostOrderTime) {
-        co_await sleepFor(StatePause);
-        if (task.engine->isGone())
+    const auto start = m_dependencies.clock.now();
+    while (m_dependencies.clock.now() - start < MaxOrderTime) {
+        co_await sleepFor(StateInterval);
+        if (task.engine->isRemoved())
             co_return;
         co_await stateOf(*task.engine);
         if (task.engine->weights(task.model) < task.version)
             continue;
-        const auto taken = std::chrono::duration_cast<std::chrono::milliseconds>(
-            m_dependencies.clock.now() - begin);
+        const auto elapsed = std::chrono::duration_cast<std::chrono::milliseconds>(
+            m_dependencies.clock.now() - start);
         Core::logEvent(Core::EventId::WeightsInPlace,
                        {{"upstream", task.engine->report().id.value()},
                         {"version", std::to_string(task.version)},
-                        {"took_ms", std::to_string(taken.count())}});
+                        {"took_ms", std::to_string(elapsed.count())}});
         co_return;
     }
-    backOff(task, ConflictPause);
+    backOff(task, ConflictBackOff);
 }
 
 void WeightsRollout::backOff(const Task &task, std::chrono::milliseconds time)
--- a/Libraries/LibGateway/WeightsRollout.h
+++ b/Libraries/LibGateway/WeightsRollout.h
@@ -58,12 +58,12 @@
     };
 
     std::vector<Task> tasks() const;
-    bool isTurn(Core::Clock::Monotonic named) const;
-    boost::asio::awaitable<bool> ensureLease(Core::Clock::Monotonic named);
+    bool isTurn(Core::Clock::Monotonic targetSince) const;
+    boost::asio::awaitable<bool> ensureLease(Core::Clock::Monotonic targetSince);
     boost::asio::awaitable<void> roll(Task task);
-    boost::asio::awaitable<bool> giveOrder(const Task &task);
+    boost::asio::awaitable<bool> sendOrder(const Task &task);
     /// How long what waits at the engine takes until it runs.
-    std::chrono::milliseconds timeToBegin(const Upstream &engine) const;
+    std::chrono::milliseconds timeUntilStarted(const Upstream &engine) const;
     boost::asio::awaitable<void> awaitWeights(const Task &task);
     boost::asio::awaitable<EngineState> stateOf(Upstream &engine);
     void noteWeights(Upstream &engine, const EngineState &state) const;
@@ -72,10 +72,10 @@
     Dependencies m_dependencies;
     std::map<Core::UpstreamId, Core::Clock::Monotonic> m_notBefore;
     /// Orders that engines are known to have accepted, where their own word may be older.
-    std::map<Core::UpstreamId, std::uint64_t> m_accepted;
+    std::map<Core::UpstreamId, std::uint64_t> m_acceptedOrders;
     std::size_t m_running = 0;
     std::map<Core::UpstreamId, bool> m_isRolling;
-    std::map<Core::UpstreamId, bool> m_isAsked;
+    std::map<Core::UpstreamId, bool> m_isRefreshing;
 };
 
 } // namespace Gateway
--- a/Libraries/LibGateway/WeightsTargets.cpp
+++ b/Libraries/LibGateway/WeightsTargets.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Older ones are outdated for so long that nothing runs on them any more.
-constexpr std::size_t KeptTargets = 64;
+constexpr std::size_t MaxTargets = 64;
 
 } // namespace
 
@@ -18,7 +18,7 @@
     if (!targets.empty() && version <= targets.back().version)
         return false;
     targets.push_back({version, now});
-    if (targets.size() > KeptTargets)
+    if (targets.size() > MaxTargets)
         targets.erase(targets.begin());
     return true;
 }
@@ -41,7 +41,7 @@
                                     [version](const Target &t) { return t.version > version; });
     if (newer == it->second.end())
         return std::nullopt;
-    return newer->learnt;
+    return newer->learnedAt;
 }
 
 } // namespace Gateway
--- a/Libraries/LibGateway/WeightsTargets.h
+++ b/Libraries/LibGateway/WeightsTargets.h
@@ -17,7 +17,7 @@
     struct Target
     {
         std::uint64_t version = 0;
-        Core::Clock::Monotonic learnt;
+        Core::Clock::Monotonic learnedAt;
     };
 
     /// Takes a higher version. Returns whether it was one.
--- a/Tests/LibGateway/TestMemory.cpp
+++ b/Tests/LibGateway/TestMemory.cpp
@@ -112,12 +112,12 @@
 
 TEST_CASE("a snapshot of beliefs is taken over by an instance that starts")
 {
-    const auto report = [](const std::string &id, std::uint64_t weights, std::int64_t born) {
+    const auto report = [](const std::string &id, std::uint64_t weights, std::int64_t startTime) {
         Gateway::UpstreamReport upstream;
         upstream.id = Core::UpstreamId(id);
         upstream.service = "llm";
         upstream.weights["m"] = weights;
-        upstream.startTime = std::chrono::milliseconds(born);
+        upstream.startTime = std::chrono::milliseconds(startTime);
         return upstream;
     };
     const std::vector<PromptPart> parts {{1, 100}, {2, 200}};
--- a/Tests/LibGateway/TestPlacement.cpp
+++ b/Tests/LibGateway/TestPlacement.cpp
@@ -82,16 +82,16 @@
 TEST_CASE("an engine that keeps the shared parts is preferred, until it has much more to read")
 {
     Fixture fixture;
-    auto &keeper = fixture.engine(fixture.chosen() == "w0" ? "w1" : "w0");
-    keeper.noteCached(std::span(fixture.parts).first(2));
-    CHECK(fixture.chosen() == keeper.report().id.value());
+    auto &cachedEngine = fixture.engine(fixture.chosen() == "w0" ? "w1" : "w0");
+    cachedEngine.noteCached(std::span(fixture.parts).first(2));
+    CHECK(fixture.chosen() == cachedEngine.report().id.value());
     CHECK(fixture.choose()->cachedTokens == 5'000);
-    keeper.noteSent(60'000, true);
-    const auto elsewhere = fixture.choose();
-    CHECK(elsewhere->upstream->report().id != keeper.report().id);
+    cachedEngine.noteSent(60'000, true);
+    const auto alternative = fixture.choose();
+    CHECK(alternative->upstream->report().id != cachedEngine.report().id);
     // The parts are fetched from it then, not read again.
-    CHECK(elsewhere->source->report().id == keeper.report().id);
-    CHECK(elsewhere->readyTokens == 5'000);
+    CHECK(alternative->source->report().id == cachedEngine.report().id);
+    CHECK(alternative->readyTokens == 5'000);
 }
 
 TEST_CASE("parts that nobody is known to keep are asked for at the session's home, or the store")
@@ -106,12 +106,12 @@
     fixture.demand.store = &store;
     CHECK(fixture.choose()->isFromStore);
     fixture.engine(preferred).noteSent(60'000, true);
-    const auto elsewhere = fixture.choose();
-    REQUIRE(elsewhere->source);
-    CHECK(elsewhere->source->report().id.value() == preferred);
-    CHECK_FALSE(elsewhere->isFromStore);
+    const auto alternative = fixture.choose();
+    REQUIRE(alternative->source);
+    CHECK(alternative->source->report().id.value() == preferred);
+    CHECK_FALSE(alternative->isFromStore);
     // The guess is no reason to expect less reading.
-    CHECK(elsewhere->readyTokens == 0);
+    CHECK(alternative->readyTokens == 0);
     // Too little to be worth a call.
     fixture.demand.sharedTokens = 100;
     CHECK_FALSE(fixture.choose()->source);
@@ -135,12 +135,12 @@
 TEST_CASE("parts are never fetched from an engine with other weights or one that fails")
 {
     Fixture fixture;
-    auto &keeper = fixture.engine("w0");
-    keeper.noteCached(std::span(fixture.parts).first(2));
-    fixture.limits.excluded.insert(keeper.report().id);
+    auto &cachedEngine = fixture.engine("w0");
+    cachedEngine.noteCached(std::span(fixture.parts).first(2));
+    fixture.limits.excluded.insert(cachedEngine.report().id);
     CHECK(fixture.choose()->source);
     for (int n = 0; n < 8; ++n)
-        keeper.noteOutcome(false, fixture.limits.now);
+        cachedEngine.noteOutcome(false, fixture.limits.now);
     CHECK_FALSE(fixture.choose()->source);
     Fixture other;
     auto &newer = other.add("new", 2);
@@ -169,7 +169,7 @@
     Gateway::WeightsTargets targets;
     targets.addTarget("m", 2, fixture.clock.now());
     fixture.demand.targets = &targets;
-    fixture.demand.weightsPatience = 4'000ms;
+    fixture.demand.maxOutdatedTime = 4'000ms;
     CHECK(fixture.choose().has_value());
     fixture.limits.now += 5s;
     CHECK_FALSE(fixture.choose().has_value());
@@ -182,10 +182,10 @@
     Fixture fixture;
     for (const auto &member : fixture.fleet.members("llm"))
         member->noteSent(50'000, false);
-    const auto patient = fixture.choose()->expectedFirst;
+    const auto notUrgent = fixture.choose()->expectedFirst;
     fixture.demand.isUrgent = true;
     const auto urgent = fixture.choose()->expectedFirst;
-    CHECK(urgent < patient / 2);
+    CHECK(urgent < notUrgent / 2);
 }
 
 TEST_CASE("what siblings sent counts like what this instance sent")
@@ -230,12 +230,12 @@
 {
     EngineModel model;
     const auto before = model.tokensPerMillisecond();
-    model.learn(300, EngineModel::Milliseconds(500));
+    model.addSample(300, EngineModel::Milliseconds(500));
     CHECK(model.tokensPerMillisecond() == before);
     for (int n = 0; n < 100; ++n) {
-        model.learn(8'500, EngineModel::Milliseconds(110));
+        model.addSample(8'500, EngineModel::Milliseconds(110));
         if (n % 3 == 0)
-            model.learn(8'500, EngineModel::Milliseconds(1'000));
+            model.addSample(8'500, EngineModel::Milliseconds(1'000));
     }
     CHECK(model.tokensPerMillisecond() > 70);
     CHECK(model.tokensPerMillisecond() < 90);
