--- a/Libraries/LibGateway/AcceptedRequest.cpp
+++ b/Libraries/LibGateway/AcceptedRequest.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr auto ShortRetryAfter = 300ms;
-// Younger knowledge than this part of the configuration's bound is taken to be complete.
+// A configuration confirmed within this share of the configuration bound counts as up to date.
 constexpr double UpToDateShare = 0.75;
 
 } // namespace
@@ -36,7 +36,8 @@
     if (!configuration)
         return Refusal {Core::ErrorKind::NotReady, "no configuration is known yet",
                         ShortRetryAfter};
-    // What is not known may have been added since; only fresh knowledge denies it.
+    // A missing route or key may have been added since the last read, so the request is rejected as
+    // unknown only while the configuration is up to date.
     const bool isUpToDate =
         state.age(now) < UpToDateShare * gateway.dependencies().settings.configurationBound;
     const Refusal outOfDate {Core::ErrorKind::NotReady, "the configuration may be out of date",
@@ -79,7 +80,7 @@
 
 std::uint64_t AcceptedRequest::memoryTokens() const
 {
-    // Few answers use all the tokens that they may.
+    // Few answers reach their output limit, so half of it is counted.
     return caller.promptTokens + caller.outputTokens / 2;
 }
 
@@ -90,7 +91,7 @@
 
 unsigned AcceptedRequest::sharedTokens() const
 {
-    // The last part belongs to the request itself.
+    // The last part is specific to this request and not shared.
     return parts.empty() ? 0 : totalTokens(std::span(parts).first(parts.size() - 1));
 }
 
--- a/Libraries/LibGateway/AcceptedRequest.h
+++ b/Libraries/LibGateway/AcceptedRequest.h
@@ -16,43 +16,44 @@
 
 class Gateway;
 
-/// Why this instance does not serve a request.
+/// The error that is returned to the caller when this instance does not forward a request.
 struct Refusal
 {
     Core::ErrorKind kind = Core::ErrorKind::NoUpstream;
     std::string reason;
-    /// When the caller may come back; none when that would not help.
+    /// When the caller may retry; empty if a retry would not help.
     std::optional<std::chrono::milliseconds> retryAfter;
 };
 
-/// A caller's request as this instance understands it: what it asks for, and the route and team
-/// that a version of the configuration gives it.
+/// A decoded request together with the route and tenant that one version of the configuration
+/// assigns to it.
 struct AcceptedRequest
 {
     CallerRequest caller;
     Core::Clock::Monotonic arrival;
     Core::Clock::Monotonic deadline = Core::Clock::Monotonic::max();
-    /// The version that route and tenant belong to; null before one was known.
+    /// The version that owns route and tenant; null until the first configuration has been read.
     ConfigurationState::Version configuration;
     const Route *route = nullptr;
     const Tenant *tenant = nullptr;
     std::vector<PromptPart> parts;
-    /// Equal for all attempts of one request.
+    /// Identifies the request in the poison request table; equal for all attempts of one request.
     std::uint64_t digest = 0;
 
-    /// Reads the caller's words. Returns why not, when they are malformed.
+    /// Decodes the request. Returns a refusal if it is malformed.
     std::optional<Refusal> decode(const RequestDialect &dialect, const Http::Request &request);
-    /// Finds route and team in the configuration in force. Returns why the request is not allowed,
-    /// or not known to be.
+    /// Looks up route and tenant in the current configuration. Returns a refusal if the request is
+    /// not allowed, or if the configuration may be too old to decide.
     std::optional<Refusal> authorize(Gateway &gateway, const Http::Request &request);
 
     std::chrono::milliseconds remainingTime(Core::Clock::Monotonic now) const;
-    /// Requests share cached prompt parts only under the same name.
+    /// Returns the name of the cache scope. Only requests of the same scope share cached prompt
+    /// parts.
     std::string cacheScope() const;
-    /// Tokens of an engine's memory that the request is expected to hold.
+    /// Returns the number of tokens of engine memory that the request is expected to occupy.
     std::uint64_t memoryTokens() const;
     unsigned promptTokens() const;
-    /// Tokens of the prompt's parts that other requests share.
+    /// Returns the number of tokens in the prompt parts that other requests may share.
     unsigned sharedTokens() const;
     std::string tenantName() const { return tenant ? tenant->name : ""; }
     Metrics::Labels labels() const;
--- a/Libraries/LibGateway/ConfigurationState.h
+++ b/Libraries/LibGateway/ConfigurationState.h
@@ -7,23 +7,23 @@
 
 namespace Gateway {
 
-/// The configuration in force on this instance, and how old the knowledge is that it is the newest.
-/// It never goes back to a lower version in one life of the process.
+/// The configuration in force on this instance, and the time since it was last confirmed to be the
+/// newest. The version never decreases during the lifetime of the process.
 class ConfigurationState
 {
 public:
     using Version = std::shared_ptr<const GatewayConfiguration>;
 
-    /// Puts the version in force unless one as new is. Returns whether it did.
+    /// Puts the version in force unless it is older than or equal to the current one. Returns
+    /// whether the configuration changed.
     bool adopt(Version version);
-    /// Notes that a read that was asked at the given time showed nothing newer than what is in
-    /// force.
+    /// Records that a read started at the given time found no version newer than the current one.
     void confirm(Core::Clock::Monotonic readStart);
 
-    /// The configuration in force; null before the first.
+    /// Returns the configuration in force; null until the first one has been adopted.
     const Version &current() const { return m_current; }
-    /// The time since the newest read that confirmed the configuration was asked; the largest
-    /// duration before any.
+    /// Returns the time since the start of the latest read that confirmed the configuration; the
+    /// maximum duration if there was none.
     std::chrono::nanoseconds age(Core::Clock::Monotonic now) const;
 
 private:
--- a/Libraries/LibGateway/EngineControl.h
+++ b/Libraries/LibGateway/EngineControl.h
@@ -10,48 +10,50 @@
 
 namespace Gateway {
 
-/// What an engine says of itself when asked.
+/// The state that an engine reports on request.
 struct EngineState
 {
-    /// Orders that it accepted in this life.
+    /// Number of orders accepted since the engine started.
     std::uint64_t ordersAccepted = 0;
-    /// Whether it carries out an order.
+    /// Whether the engine is executing an order.
     bool isBusy = false;
     unsigned waiting = 0;
     unsigned running = 0;
     std::map<std::string, std::uint64_t> weights;
 };
 
-/// An order to take other weights. Runs under way finish on the old ones first.
+/// An order to load another version of the weights. Running requests finish on the old version
+/// first.
 struct WeightsOrder
 {
     std::string model;
     std::uint64_t version = 0;
     std::string holder;
     std::uint64_t fencingToken = 0;
-    /// The engine carries the order out only if it has accepted this many before.
+    /// The engine rejects the order unless it has accepted exactly this many orders before.
     std::uint64_t expectedOrders = 0;
 };
 
 enum class OrderOutcome {
     Accepted,
     AlreadyInForce,
-    /// Another order is in progress, or the expected number of orders differs.
+    /// Another order is in progress, or the number of accepted orders differs from the expected
+    /// one.
     Conflict,
-    /// The engine has seen a higher fencing token, or is another upstream.
+    /// The engine has seen a higher fencing token, or another upstream answers at the address.
     Rejected,
 };
 
-/// Asks engines for their state and gives them orders. Calls throw Error when no answer came; an
-/// order may then be carried out all the same, later.
+/// Queries the state of engines and sends them orders. Calls throw Core::Error if no answer
+/// arrives; the engine may still execute such an order later.
 class EngineControl
 {
 public:
     virtual ~EngineControl() = default;
 
     virtual boost::asio::awaitable<EngineState> state(const UpstreamReport &engine) = 0;
-    /// Waits for news of a store of prompt parts behind the position, and moves it on. Returns the
-    /// number of the store's life.
+    /// Long-polls a KV cache store for events after the position, and advances the position.
+    /// Returns the epoch of the store process.
     virtual boost::asio::awaitable<std::uint64_t> storeEpoch(Http::Endpoint store,
                                                              std::uint64_t &position) = 0;
     virtual boost::asio::awaitable<OrderOutcome> order(const UpstreamReport &engine,
--- a/Libraries/LibGateway/EngineModel.cpp
+++ b/Libraries/LibGateway/EngineModel.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-// The way there and back and the first step of decoding.
+// The network round trip and the first decoding step.
 constexpr EngineModel::Milliseconds Overhead {10};
-// Shorter prompts say more about the overhead than about the rate.
+// The time of shorter prompts is dominated by the overhead, so it says little about the rate.
 constexpr unsigned MinSampleTokens = 1'500;
-// Most samples hold some work that this instance does not know of, so the rate follows the faster
-// ones.
+// Most samples include work that this instance does not know of, so the rate rises faster than it
+// falls.
 constexpr double RisingGain = 0.2;
 constexpr double FallingGain = 0.02;
 constexpr double MinRate = 1;
--- a/Libraries/LibGateway/EngineModel.h
+++ b/Libraries/LibGateway/EngineModel.h
@@ -5,21 +5,22 @@
 
 namespace Gateway {
 
-/// How fast the engines of one service read prompts, learnt from their answers.
+/// Estimates the prefill rate of a service's engines from their observed times to the first token.
 class EngineModel
 {
 public:
     using Milliseconds = std::chrono::duration<double, std::milli>;
 
-    /// The expected time to the first token of a prompt when the engine has this many tokens to
-    /// read, its own included.
+    /// Returns the expected time to the first token of a prompt if the engine has this many tokens
+    /// to prefill, those of the prompt included.
     Milliseconds firstToken(std::uint64_t tokensToPrefill) const;
-    /// Learns from an answer whose prompt met no other at its engine.
+    /// Updates the rate from an answer whose prompt did not compete with others at its engine.
     void addSample(unsigned prefilledTokens, Milliseconds firstToken);
     double tokensPerMillisecond() const { return m_tokensPerMillisecond; }
 
 private:
-    // Until the first answers: a slow engine, so that a cold instance spreads its requests.
+    // In tokens per millisecond. Low on purpose, so that an instance without samples spreads its
+    // requests.
     static constexpr double InitialRate = 50;
 
     double m_tokensPerMillisecond = InitialRate;
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-// What is sent now may reach an upstream this much later.
+// A request that is sent now may reach the upstream this much later.
 constexpr std::chrono::milliseconds RevocationMargin {400};
 
 } // namespace
@@ -29,7 +29,8 @@
 
 bool Gateway::isReady() const
 {
-    // Without the members no request could be sent again after a failure.
+    // While the number of members is unknown, the retry budget has no slack, so a failed request
+    // might not be retried.
     return !m_isDraining && m_dependencies.configuration.current() && hasUpToDateKeys()
            && !m_dependencies.fleet.all().empty() && m_instanceCount;
 }
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -22,7 +22,7 @@
 
 namespace Gateway {
 
-/// What a request's way through this instance works with.
+/// References to the services that request handling uses.
 struct GatewayDependencies
 {
     const GatewaySettings &settings;
@@ -34,28 +34,29 @@
     Http::Client &client;
 };
 
-/// Takes callers' requests, and holds what the decisions about them share: the rates of engines,
-/// the retry budgets and the requests that break upstreams.
+/// Handles callers' requests, and owns the state that their decisions share: prefill rates of
+/// engines, retry budgets and the poison request table.
 class Gateway
 {
 public:
     explicit Gateway(GatewayDependencies dependencies);
 
-    /// Serves one request; a handler of Http::Server.
+    /// Handles one request; suitable as a handler of Http::Server.
     boost::asio::awaitable<void> handle(Http::ServerExchange &exchange);
 
-    /// Whether requests with keys may be sent: the knowledge of keys is younger than their
-    /// revocation may take effect.
+    /// Returns whether keys may be accepted: the configuration was confirmed recently enough that a
+    /// revoked key cannot outlive the revocation bound.
     bool hasUpToDateKeys() const;
-    /// Whether this instance should get new callers.
+    /// Returns whether the load balancer should send new callers to this instance.
     bool isReady() const;
-    /// Sets how many instances share the retry budgets and upstreams' connections.
+    /// Sets the number of instances that share the retry budgets and the connection limits of
+    /// upstreams.
     void setInstanceCount(unsigned count) { m_instanceCount = count; }
-    /// The number of instances; none until the members are known.
+    /// Returns the number of instances; empty until the members are known.
     std::optional<unsigned> instanceCount() const { return m_instanceCount; }
-    /// From now on this instance is not ready, but serves on.
+    /// Makes isReady() return false. Requests are still served.
     void beginDrain() { m_isDraining = true; }
-    /// From now on new requests are refused, since they could not be finished.
+    /// Refuses all requests that arrive later, since they could not finish before the process ends.
     void refuseAll() { m_isRefusing = true; }
     bool isRefusing() const { return m_isRefusing; }
 
@@ -67,19 +68,21 @@
     RetryBudgetShare &retries(const std::string &service) { return m_retries[service]; }
     std::minstd_rand &random() { return m_random; }
 
-    /// Called with the digest of a request under which an upstream broke.
+    /// Called with the digest of a request during which an upstream failed.
     std::function<void(std::uint64_t)> onUpstreamFailure;
-    /// Called when an engine has read a prompt's parts.
+    /// Called when an engine has prefilled the parts of a prompt.
     std::function<void(const Upstream &, std::span<const PromptPart>)> onPartsRead;
-    /// Called when an engine has saved a prompt's parts, as KvCacheStore::storedParts() gives them.
+    /// Called when an engine has saved prompt parts to a store. The parts are as
+    /// KvCacheStore::storedParts() returns them.
     std::function<void(const KvCacheStore &, std::span<const PromptPart>)> onPartsStored;
-    /// Called when an upstream is to get nothing for a while.
+    /// Called when an upstream must not receive new requests for the given time.
     std::function<void(const Upstream &, std::chrono::milliseconds)> onPause;
     /// Called when an upstream could not be reached.
     std::function<void(const Upstream &)> onUnreachable;
-    /// Called when an engine refused a request for having other weights than were known.
+    /// Called when an engine refused a request because its weights differ from the expected
+    /// version.
     std::function<void(const std::shared_ptr<Upstream> &)> onWeightsMismatch;
-    /// Called when an answer showed newer weights than were known.
+    /// Called when an answer reported newer weights than were known.
     std::function<void(const Upstream &, const std::string &model, std::uint64_t version)>
         onWeightsSeen;
 
--- a/Libraries/LibGateway/GatewayConfiguration.h
+++ b/Libraries/LibGateway/GatewayConfiguration.h
@@ -14,83 +14,83 @@
 
 namespace Gateway {
 
-/// What a route's requests allow when an attempt fails.
+/// Determines which requests of a route may be retried after a failed attempt.
 enum class RequestKind {
-    /// May run any number of times.
+    /// Idempotent: may be executed any number of times.
     Repeatable,
-    /// May run at most once.
+    /// May be executed at most once.
     Once,
-    /// Answers with a stream of events; may run again only where the route allows resuming.
+    /// Answered by an event stream; may be executed again only if the route is resumable.
     Stream,
 };
 
-/// One of the services that share a route's requests.
+/// A service that receives a share of a route's requests, in proportion to its weight.
 struct WeightedService
 {
     std::string service;
     unsigned weight = 1;
 };
 
-/// Where requests of a host below a path go, and what they may expect.
+/// Maps requests of a host and path prefix to services, and sets their limits and targets.
 struct Route
 {
     std::string name;
     std::string host;
-    /// Begins and ends with a slash.
+    /// Starts and ends with a slash.
     std::string pathPrefix;
     RequestKind kind = RequestKind::Once;
-    /// The longest time a caller is kept waiting.
+    /// The maximum time until the request is complete.
     std::chrono::milliseconds timeout {30'000};
-    /// The time to the answer, or to a stream's first event, that callers want.
+    /// The target time to the answer, or to the first event of a stream.
     std::chrono::milliseconds target {1'000};
-    /// The longest pause between events that callers want.
+    /// The target for the longest pause between two events of a stream.
     std::chrono::milliseconds gapTarget {1'000};
-    /// 0 is served first.
+    /// 0 is the most urgent.
     int priority = 5;
     unsigned maxAttempts = 1;
     bool isPublic = false;
     bool isResumable = false;
     std::vector<WeightedService> services;
 
-    /// Whether an attempt whose outcome is unknown may be followed by another.
+    /// Returns whether the request may be retried after an attempt that may have been executed.
     bool mayRunAgain() const;
 };
 
-/// What the operator says of the engines of a service.
+/// The configured capacity of each engine of a service.
 struct EngineLimits
 {
     unsigned slots = 1;
-    /// Memory of one engine, in tokens.
+    /// KV cache memory of one engine, in tokens.
     std::uint64_t cacheTokens = 0;
     std::uint64_t bytesPerToken = 0;
-    /// The speed at which an engine sends or takes in cached parts.
+    /// The rate at which an engine sends or receives cached parts.
     double linkMegabitsPerSecond = 0;
 };
 
-/// Interchangeable upstreams.
+/// A group of interchangeable upstreams.
 struct Service
 {
     std::string name;
-    /// Connections that one upstream accepts from all instances together.
+    /// The connection limit of one upstream, shared by all instances.
     unsigned maxConnections = 64;
     std::optional<EngineLimits> engine;
-    /// The address of a store of cached prompt parts; such a service has no upstreams.
+    /// The address of a KV cache store; a service that has one has no upstreams.
     std::optional<Http::Endpoint> kvCacheStore;
     std::uint64_t kvCacheStoreTokens = 0;
 };
 
-/// A team that calls with keys of its own.
+/// A team and its API keys.
 struct Tenant
 {
     std::string name;
     std::vector<std::string> keys;
-    /// Takes precedence over a route's priority.
+    /// Overrides the priority of the route.
     std::optional<int> priority;
-    /// Shares no cached prompt part with any other team.
+    /// Whether the team shares no cached prompt parts with other teams.
     bool isIsolated = false;
 };
 
-/// What a caller may send and how long it may take.
+/// Limits on the size and timing of callers' requests.
 struct CallerLimits
 {
     std::size_t headerBytes = 16 * 1024;
@@ -99,7 +99,7 @@
     std::chrono::milliseconds idleTime {60'000};
 };
 
-/// One version of the configuration, whole, with its indexes.
+/// One complete version of the configuration with its lookup indexes.
 struct GatewayConfiguration
 {
     std::uint64_t version = 0;
@@ -108,9 +108,10 @@
     std::vector<Tenant> tenants;
     CallerLimits limits;
 
-    /// Builds the indexes that the look-ups below use. To be called once, after the fields are set.
+    /// Builds the indexes for the lookups below. Must be called once, after the fields are set.
     void buildIndexes();
-    /// The route of the host (a port is ignored) with the longest prefix that begins the path.
+    /// Returns the route of the host (ignoring the port) whose path prefix is the longest match;
+    /// null if none matches.
     const Route *findRoute(std::string_view host, std::string_view path) const;
     const Tenant *findTenant(std::string_view key) const;
     const Service *findService(const std::string &name) const;
--- a/Libraries/LibGateway/GatewayMetrics.h
+++ b/Libraries/LibGateway/GatewayMetrics.h
@@ -11,8 +11,7 @@
 
 namespace Gateway {
 
-/// Everything one instance counts about the requests of its routes. The class label holds the
-/// route's name.
+/// The metrics of an instance's requests. The class label holds the name of the route.
 class GatewayMetrics
 {
 public:
@@ -35,11 +34,11 @@
         "jujube_gateway_expected_first_token_seconds",
         "Time to the first token that was expected when an engine was chosen."};
 
-    /// Adds values that are read when they are asked for.
+    /// Registers a gauge whose values are read at each scrape.
     void addGauge(std::string name, std::string help, std::string labelName,
                   Metrics::Gauge::Reader read);
 
-    /// Everything in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     std::string render() const { return m_registry.render(); }
 
 private:
--- a/Libraries/LibGateway/OrderLease.cpp
+++ b/Libraries/LibGateway/OrderLease.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// For the way of an order that was sent at the lease's end.
+// Time for an order that was sent just before the lease expired to arrive.
 constexpr std::chrono::milliseconds HandoverMargin {500};
 
 } // namespace
@@ -49,7 +49,7 @@
 {
     if (!m_ownOffset || now + margin >= m_ownExpiry)
         return std::nullopt;
-    // Tokens begin with 1, as some upstreams take 0 for none.
+    // Fencing tokens start at 1, since some upstreams treat 0 as no token.
     return *m_ownOffset + 1;
 }
 
--- a/Libraries/LibGateway/OrderLease.h
+++ b/Libraries/LibGateway/OrderLease.h
@@ -9,27 +9,30 @@
 
 namespace Gateway {
 
-/// Who may give orders to upstreams. Leases are records of one log; a record's offset gives the
-/// fencing token, so that two holders never share one and a later holder's is higher. The holder
-/// counts its lease from before it asked for it, others from when they saw it, and they wait for
-/// its end and for the distance that upstreams want between two holders.
+/// The lease of the instance that may send orders to upstreams. Leases are records of a log, and
+/// the offset of a record determines its fencing token, so tokens are unique and increase with
+/// every holder. The holder counts the duration from before its request to the log; other instances
+/// count from when they see the record, and wait until it has expired and the minimum gap between
+/// two holders, which the upstreams require, has passed.
 class OrderLease
 {
 public:
-    /// How long a lease lasts from when it was asked for.
+    /// Duration of a lease, counted from the request for it.
     static constexpr std::chrono::milliseconds Duration {1'500};
 
     OrderLease(Core::InstanceId self, std::chrono::milliseconds minHandoverGap);
 
-    /// Notes the newest lease that the log holds.
+    /// Records a lease that was read from the log; leases older than the newest known one are
+    /// ignored.
     void noteRecord(std::uint64_t offset, const Core::InstanceId &holder,
                     Core::Clock::Monotonic now);
-    /// Whether this instance may try to take or renew the lease.
+    /// Returns whether this instance may try to acquire or renew the lease.
     bool mayTake(Core::Clock::Monotonic now) const;
-    /// Notes that the log took this instance's lease, asked for at the given time.
+    /// Records that the log accepted the lease that this instance requested at the given time.
     void noteTaken(std::uint64_t offset, Core::Clock::Monotonic requestTime);
-    /// The token to give orders with; none when the lease is not this instance's or runs out
-    /// within the margin. The clock has to count suspension.
+    /// Returns the fencing token for orders; empty if this instance does not hold the lease or the
+    /// lease expires within the margin. The clock has to include the time in which the machine is
+    /// suspended.
     std::optional<std::uint64_t> token(Core::Clock::Monotonic now,
                                        std::chrono::milliseconds margin) const;
     const Core::InstanceId &lastHolder() const { return m_lastHolder; }
--- a/Libraries/LibGateway/PoisonRequestTable.cpp
+++ b/Libraries/LibGateway/PoisonRequestTable.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Callers come back within their time budgets, which are far shorter.
+// Longer than callers retry, which is bounded by their timeouts.
 constexpr std::chrono::minutes RetentionTime {5};
 constexpr std::size_t MaxEntries = 10'000;
 
--- a/Libraries/LibGateway/PoisonRequestTable.h
+++ b/Libraries/LibGateway/PoisonRequestTable.h
@@ -9,20 +9,21 @@
 
 namespace Gateway {
 
-/// Counts the upstreams that broke down under a request, over all its attempts and instances.
+/// Counts the upstream failures during each request, over all its attempts and all instances.
 class PoisonRequestTable
 {
 public:
-    /// A request that broke this many upstreams is sent to no further one.
+    /// A request with this many upstream failures is poison, and not sent to any more upstreams.
     static constexpr unsigned MaxUpstreamFailures = 3;
 
-    /// Notes that an upstream broke off while it worked on the request.
+    /// Records that an upstream failed while it executed the request.
     void noteUpstreamFailure(std::uint64_t digest, Core::Clock::Monotonic now);
-    /// Notes that another instance knows the request to be poison. Such entries are not told on, or
-    /// instances would remind each other of them for ever.
+    /// Records that another instance reported the request as poison. Such entries are not published
+    /// again, since instances would otherwise refresh each other's entries forever.
     void notePoison(std::uint64_t digest, Core::Clock::Monotonic now);
     bool isPoison(std::uint64_t digest, Core::Clock::Monotonic now) const;
-    /// The digests of poison requests whose upstream failures this instance heard of one by one.
+    /// Returns the digests of the poison requests whose upstream failures were recorded
+    /// individually on this instance.
     std::vector<std::uint64_t> poisonDigests(Core::Clock::Monotonic now) const;
     std::size_t size() const { return m_entries.size(); }
 
@@ -39,7 +40,8 @@
     std::unordered_map<std::uint64_t, Entry> m_entries;
 };
 
-/// The identity of a request over its attempts: the same path, caller and body.
+/// Returns the digest that identifies a request over its attempts: equal for equal path, tenant and
+/// body.
 std::uint64_t requestDigest(const std::string &target, const std::string &tenant,
                             const std::string &body);
 
--- a/Libraries/LibGateway/PrefixCacheEstimate.cpp
+++ b/Libraries/LibGateway/PrefixCacheEstimate.cpp
@@ -26,7 +26,8 @@
 
 void PrefixCacheEstimate::noteUse(std::span<const PromptPart> parts)
 {
-    // The last parts are touched first, so that a part never outlives one that it builds on.
+    // Parts are marked as used from last to first, so that a part is always evicted before the
+    // parts that precede it in the prompt.
     for (auto it = parts.rbegin(); it != parts.rend(); ++it) {
         const auto known = m_parts.find(it->prefixHash);
         if (known != m_parts.end()) {
--- a/Libraries/LibGateway/PrefixCacheEstimate.h
+++ b/Libraries/LibGateway/PrefixCacheEstimate.h
@@ -8,35 +8,37 @@
 
 namespace Gateway {
 
-/// One part of a prompt. The prefix hash identifies the part together with all before it and with
-/// whom it may be shared, so that equal hashes mean equal cached memory.
+/// A part of a prompt. The prefix hash covers the part, all parts before it and the cache scope, so
+/// equal hashes mean the same cached data.
 struct PromptPart
 {
     std::uint64_t prefixHash = 0;
     unsigned tokens = 0;
 };
 
-/// The tokens of all the parts together.
+/// Returns the sum of the parts' tokens.
 unsigned totalTokens(std::span<const PromptPart> parts);
 
-/// What one engine is believed to keep, least recently used first to go.
+/// Estimates the content of a prefix cache with least-recently-used eviction.
 class PrefixCacheEstimate
 {
 public:
-    /// Tokens of the prompt's leading parts that the engine is believed to keep.
+    /// Returns the number of tokens in the prompt's leading parts that are estimated to be cached.
     unsigned cachedTokens(std::span<const PromptPart> parts) const;
-    /// Notes that the engine read or used these parts, and drops the oldest beyond the capacity.
+    /// Records that these parts were prefilled or used, and evicts the least recently used ones
+    /// beyond the capacity.
     void noteUse(std::span<const PromptPart> parts);
-    /// Sets how many tokens the engine keeps at most.
+    /// Sets the capacity of the cache.
     void setCapacity(std::uint64_t tokens) { m_capacity = tokens; }
-    /// Forgets everything, as after a restart or new weights.
+    /// Removes all entries, as after a restart or a change of weights.
     void clear();
     std::uint64_t tokens() const { return m_tokens; }
-    /// At most this many parts, the most recently used last.
+    /// Returns up to this many of the most recently used parts, the latest last.
     std::vector<PromptPart> newest(std::size_t count) const;
 
 private:
-    /// Until the configuration tells; what siblings say before that is worth keeping.
+    /// Used until the configuration sets the capacity, so that entries from siblings' updates are
+    /// not lost before that.
     static constexpr std::uint64_t InitialCapacity = 1'000'000;
     using UsageOrder = std::list<PromptPart>;
 
--- a/Libraries/LibGateway/RequestDialect.h
+++ b/Libraries/LibGateway/RequestDialect.h
@@ -12,75 +12,75 @@
 
 namespace Gateway {
 
-/// One part of a prompt as the caller names it.
+/// A part of a prompt, identified by the caller.
 struct NamedPart
 {
     std::string id;
     unsigned tokens = 0;
 };
 
-/// What a caller's request says, apart from its method, target and body.
+/// The content of a caller's request that is decoded from its headers and body.
 struct CallerRequest
 {
     std::string host;
     /// Identifies this attempt of the caller; upstreams repeat it in their answers.
     std::string attemptId;
-    /// How long the caller waits.
+    /// The time for which the caller waits for an answer.
     std::optional<std::chrono::milliseconds> callerTimeout;
     std::string key;
     std::string model;
     unsigned promptTokens = 0;
-    /// The most tokens that are to be generated.
+    /// The maximum number of tokens to generate.
     unsigned outputTokens = 0;
     std::vector<NamedPart> parts;
-    /// The id of the last event that the caller has; empty for a new stream.
+    /// The id of the last event that the caller received; empty for a new stream.
     std::string resumeAfter;
 };
 
-/// What an upstream is told beside the caller's own words.
+/// The information that is added to a caller's request when it is sent to an upstream.
 struct Dispatch
 {
     Core::UpstreamId upstream;
     std::chrono::milliseconds remainingTime {0};
     std::string tenant;
-    /// Requests share cached prompt parts only under the same name.
+    /// Only requests of the same scope share cached prompt parts.
     std::string cacheScope;
-    /// 0 is first.
+    /// From 0 (most urgent) to 9.
     int urgency = 5;
     std::string resumeAfter;
-    /// The weights that the upstream must have to run the request.
+    /// The version of the weights that the upstream must have to execute the request.
     std::optional<std::uint64_t> weights;
-    /// Another engine or store to fetch cached parts from.
+    /// Another engine or a KV cache store to fetch cached parts from.
     std::optional<Http::Endpoint> fetchFrom;
-    /// A store to save the prompt's parts to.
+    /// The KV cache store to save the prompt's parts to.
     std::optional<Http::Endpoint> saveTo;
 };
 
-/// What the head of an upstream's answer says.
+/// The status and headers of an upstream's answer, decoded.
 struct AnswerHead
 {
-    /// The upstream states that it did not run the request.
+    /// Whether the upstream states that it did not execute the request.
     bool isNotRun = false;
-    /// The address belongs to another upstream than the one expected.
+    /// Whether the answer comes from another upstream than the expected one.
     bool isOtherUpstream = false;
-    /// Which upstream answers, where it says so.
+    /// The upstream that answers; empty if the answer does not name it.
     Core::UpstreamId upstream;
-    /// The answer bears the mark of the upstream that made it.
+    /// Whether the answer has the seal header that only upstreams set.
     bool isSealed = false;
     std::string attemptId;
-    /// The version of the weights that it ran on.
+    /// The version of the weights that the request was executed with.
     std::optional<std::uint64_t> weights;
 };
 
-/// Reads callers' requests, and writes and reads what goes between this program and upstreams.
+/// Decodes callers' requests, and encodes and decodes the headers exchanged with upstreams.
 class RequestDialect
 {
 public:
     virtual ~RequestDialect() = default;
 
-    /// Fails with MalformedRequest.
+    /// Returns an error of kind MalformedRequest if the request cannot be decoded.
     virtual Core::Result<CallerRequest> decode(const Http::Request &request) const = 0;
-    /// The headers of the request as an upstream receives it.
+    /// Returns the headers of the request that is sent to the upstream.
     virtual Http::Headers upstreamHeaders(const Http::Request &request,
                                           const Dispatch &dispatch) const = 0;
     virtual AnswerHead readHead(unsigned status, const Http::Headers &headers) const = 0;
--- a/Libraries/LibGateway/RequestLog.h
+++ b/Libraries/LibGateway/RequestLog.h
@@ -8,14 +8,14 @@
 
 namespace Gateway {
 
-/// How far a request has come, for its lines in the log.
+/// The progress of a request, as reported in the log.
 struct RequestProgress
 {
     unsigned sends = 0;
     std::optional<Core::Clock::Monotonic> firstByte;
 };
 
-/// The lines of the log that tell a request's way. Each holds the caller's attempt id.
+/// Functions that log the events of a request. Each event contains the attempt id of the caller.
 void logRefusal(const Gateway &gateway, const AcceptedRequest &request, const Refusal &refusal);
 void logServed(Gateway &gateway, const AcceptedRequest &request, const RequestPlan &plan,
                const RequestProgress &progress);
--- a/Libraries/LibGateway/RequestPlan.cpp
+++ b/Libraries/LibGateway/RequestPlan.cpp
@@ -14,21 +14,22 @@
 
 constexpr auto ShortRetryAfter = 300ms;
 constexpr auto MinRetryAfter = 100ms;
-// Streams are given up by callers after this many times the target without a first event.
+// Callers cancel a stream after this multiple of the route's target without a first event.
 constexpr double MaxUrgentWaitTargets = 4;
-// What is less urgent waits for at most this part of its target: a longer queue serves no more
-// requests, and delays the urgent ones that share the engines' steps with it.
+// The maximum wait of less urgent requests, as a multiple of the target. A longer queue does not
+// increase throughput, and delays urgent requests that share the engines' steps with it.
 constexpr double MaxQueueWaitTargets = 0.5;
-// Of a stream's time, this share may be spent on waiting for the first token.
+// The share of a request's remaining time that may be spent waiting for the first token.
 constexpr double FirstTokenShare = 0.85;
-// An engine with older weights is passed over from this part of the weights' bound on.
+// Engines are skipped when their weights have been outdated for longer than this share of the
+// weights bound.
 constexpr double MaxOutdatedShare = 0.65;
-// Connections beyond an equal share that may still be starting or closing.
+// Instances that may be starting or shutting down, in addition to the known members.
 constexpr unsigned SpareInstances = 1;
 constexpr double BytesPerMegabit = 125'000;
 constexpr double MillisecondsPerSecond = 1'000;
 
-/// Draws one of the route's services by their weights.
+/// Picks one of the route's services at random, in proportion to their weights.
 std::string pickService(Gateway &gateway, const Route &route)
 {
     std::vector<double> weights;
@@ -38,7 +39,8 @@
     return route.services[pick(gateway.random())].service;
 }
 
-/// How fast engines pass cached parts to each other; 0 when they cannot.
+/// Returns the rate at which engines transfer cached parts to each other, in tokens per
+/// millisecond; 0 if they cannot.
 double fetchRate(const EngineLimits &engine)
 {
     if (engine.bytesPerToken == 0)
@@ -87,10 +89,11 @@
                     std::max<milliseconds>(MinRetryAfter, duration_cast<milliseconds>(retryAfter))};
 }
 
-/// Whether the prompt's parts are worth a place in the store that does not have them yet.
+/// Returns whether the prompt's parts should be saved to the store, which does not have all of them
+/// yet.
 bool isWorthSaving(const KvCacheStore &store, const AcceptedRequest &request, std::uint64_t weights)
 {
-    // The last part is the request's own; saving it takes room from what others share.
+    // The last part is specific to the request; saving it would displace parts that are shared.
     if (request.parts.size() < 2)
         return false;
     const std::span shared(request.parts.data(), request.parts.size() - 1);
--- a/Libraries/LibGateway/RequestPlan.h
+++ b/Libraries/LibGateway/RequestPlan.h
@@ -12,33 +12,33 @@
 
 namespace Gateway {
 
-/// Which upstream one attempt of a request goes to, and what it is told.
+/// The upstream that was chosen for one attempt of a request, and the options to send it with.
 struct RequestPlan
 {
     std::string service;
     std::shared_ptr<Upstream> upstream;
-    /// For prompts alone.
+    /// Set only for prompts that are sent to engines.
     std::optional<EngineChoice> engine;
-    /// The weights that the engine is believed to have.
+    /// The last known version of the engine's weights.
     std::uint64_t weights = 0;
-    /// The store of the session's parts; 0 when there is none that answers.
+    /// Identifies the KV cache store of the session's parts; 0 if no store answers.
     std::uint64_t storeHolder = 0;
-    /// Whether the engine is to save the prompt's parts to the store.
+    /// Whether the engine should save the prompt's parts to the store.
     bool isSaving = false;
 
-    /// Prompt tokens that the engine is expected to read.
+    /// Returns the number of prompt tokens that the engine is expected to prefill.
     std::uint64_t uncachedTokens(const AcceptedRequest &request) const;
-    /// Where the engine is told to fetch parts from, for the log.
+    /// Returns the source that the engine fetches cached parts from, for the log.
     std::string fetchSource() const;
 };
 
-/// Chooses an upstream, or says why none is worth a try. Answers load beyond what engines read in
-/// time: what cannot get its first token within its patience is refused at once, with a time to
-/// come back.
+/// Chooses an upstream, or returns a refusal if none is suitable. Sheds load that exceeds the
+/// prefill capacity of the engines: a request whose expected time to the first token exceeds its
+/// wait limit is refused immediately with a time for a retry.
 std::variant<RequestPlan, Refusal> planRequest(Gateway &gateway, const AcceptedRequest &request,
                                                const std::set<Core::UpstreamId> &excluded);
 
-/// The store that the plan names, while it answers; null otherwise.
+/// Returns the KV cache store of the plan; null if it has none or the store does not answer.
 KvCacheStore *kvCacheStoreOf(Gateway &gateway, const RequestPlan &plan);
 
 } // namespace Gateway
--- a/Libraries/LibGateway/RequestRelay.cpp
+++ b/Libraries/LibGateway/RequestRelay.cpp
@@ -19,19 +19,20 @@
 namespace {
 
 constexpr auto ConnectTimeout = 500ms;
-// Bytes that an upstream leaves unacknowledged for this long were sent to one that is gone.
+// If sent data is not acknowledged for this long, the upstream is considered unreachable.
 constexpr auto UnacknowledgedTimeout = 1'500ms;
-// A request that could not be sent is offered to this many upstreams in all.
+// The maximum number of attempts for a request that no upstream has executed.
 constexpr unsigned MaxSends = 6;
 constexpr std::size_t AnswerLimitBytes = 64 * 1024 * 1024;
-// Callers honour a Retry-After of up to a third of the time that they have left.
+// Callers honour a Retry-After of at most a third of their remaining time.
 constexpr int RetryAfterShare = 3;
 constexpr auto ShortRetryAfter = 300ms;
 constexpr auto MinRetryAfter = 100ms;
-// Entries of the list lapse after this many reports that did not come.
+// The list entry of an upstream expires after this many missed reports.
 constexpr int MaxMissedReports = 3;
 constexpr auto BusyPause = 120ms;
-// Shorter times to the first token say little about an engine's speed.
+// If the expected time to the first token is shorter, the measured time says little about the speed
+// of the engine.
 constexpr EngineModel::Milliseconds MinSlownessSampleTime {20};
 
 std::string formatSeconds(milliseconds time)
@@ -80,7 +81,7 @@
 {
     const auto before = m_request;
     auto denied = m_request.authorize(m_gateway, m_exchange.request());
-    // What becomes of the request is still told by the route that it was sent on.
+    // The outcome of the request is still reported under the route that it was sent on.
     if (denied)
         m_request = before;
     return denied;
@@ -133,7 +134,8 @@
             co_await finish(end);
             co_return;
         }
-        // A queued or repeated request is judged by the configuration in force when it is sent.
+        // A queued or repeated request is authorized again with the configuration that is in force
+        // when it is sent.
         const auto denied = reauthorize();
         if (denied && !m_mayHaveExecuted) {
             co_await refuse(*denied);
@@ -157,7 +159,7 @@
     const auto &current = dependencies.configuration.current();
     if (current == m_request.configuration)
         return m_request.route->isPublic || current->tenants.empty() || m_gateway.hasUpToDateKeys();
-    // Another version came in force since the choice; choose anew under it.
+    // The configuration changed after the upstream was chosen, so the choice is repeated.
     return false;
 }
 
@@ -231,8 +233,9 @@
         urgencyLevel(*m_request.route, m_request.tenant,
                      m_plan->engine && m_plan->engine->expectedFirst > m_request.route->target);
     if (m_plan->engine) {
-        // Parts are only found under the scope's name, so that memory made by other weights is out
-        // of reach wherever it lies; the upstream refuses the request if it has other weights.
+        // Cached parts are looked up by scope, so including the version of the weights prevents the
+        // use of parts that other weights computed, wherever they are cached. The upstream refuses
+        // the request if its weights differ.
         const auto weights = m_plan->upstream->weights(m_request.caller.model);
         dispatch.weights = weights;
         dispatch.cacheScope += ".weights-" + text(weights);
@@ -258,7 +261,8 @@
     if (m_cancelReason != CancelReason::None)
         m_abort->abort();
     Http::SendOptions options;
-    // A kept connection that turns out closed leaves open whether the request ran.
+    // If a reused connection turns out to be closed, it is unknown whether the request was
+    // executed.
     options.mayRepeat = false;
     options.abort = m_abort;
     options.unacknowledged = UnacknowledgedTimeout;
@@ -267,7 +271,7 @@
         m_isPlanOutdated = !mayStillSend();
         return !m_isPlanOutdated;
     };
-    // The deadline's timer ends the call; these only bound what it would forget.
+    // The deadline timer ends the call; these timeouts only guard against a call that it misses.
     Http::ClientTimeouts timeouts;
     timeouts.connect = std::min<milliseconds>(ConnectTimeout, remainingTime());
     timeouts.head = remainingTime() + 1s;
@@ -287,7 +291,7 @@
         co_return m_cancelReason == CancelReason::None ? AttemptEnd::NotSent
                                                        : AttemptEnd::Cancelled;
     }
-    // From here on bytes of the request may have reached the upstream.
+    // The upstream may have received part of the request from this point on.
     const bool mayHaveExecutedBefore = std::exchange(m_mayHaveExecuted, true);
     ++m_executions;
     if (failure)
@@ -309,7 +313,7 @@
         return AttemptEnd::Cancelled;
     m_hasTimedOut = error.kind() == Core::ErrorKind::UpstreamTimedOut;
     noteAttempt("broken", error.what());
-    // Bytes that nobody acknowledges were sent to an upstream that is gone.
+    // Unacknowledged data means that the upstream is unreachable.
     if (m_hasTimedOut)
         noteUnreachable();
     if (error.kind() == Core::ErrorKind::UpstreamFailed) {
@@ -337,7 +341,7 @@
     try {
         if (head.isOtherUpstream || head.isNotRun) {
             noteRefusedByUpstream(answer.status(), head);
-            // Taking the body in whole lets the connection serve on.
+            // The connection can be reused only after the whole body has been read.
             while (co_await answer.readSome()) { }
             co_return AttemptEnd::NotExecuted;
         }
@@ -376,7 +380,8 @@
                 std::to_string(status) + " from " + head.upstream.value() + ", believed weights "
                     + text(m_plan->upstream->weights(m_request.caller.model)));
     if (head.isOtherUpstream && head.upstream != m_plan->upstream->report().id) {
-        // Another life has the address; the entry of the one before has yet to lapse.
+        // Another incarnation uses the address; the list entry of the previous one has not expired
+        // yet.
         m_plan->upstream->pauseUntil(
             now + MaxMissedReports * m_gateway.dependencies().settings.reportInterval);
         if (m_gateway.onPause)
@@ -386,7 +391,7 @@
     }
     if (!m_plan->engine)
         return;
-    // It is full or carries out an order, or took other weights than were known.
+    // The engine is full, executes an order, or has other weights than expected.
     m_plan->upstream->pauseUntil(std::max(m_plan->upstream->pausedUntil(), now + BusyPause));
     if (head.isOtherUpstream && m_gateway.onWeightsMismatch)
         m_gateway.onWeightsMismatch(m_plan->upstream);
@@ -487,7 +492,7 @@
                         {"upstream", m_plan->upstream->report().id.value()},
                         {"outcome", "stream cut"},
                         {"last_event", m_events.lastId()}});
-        // Closing the connection is the only way to say that the stream is not whole.
+        // Closing the connection is the only way to signal that the stream is incomplete.
         throw boost::system::system_error(asio::error::connection_aborted);
     }
     if (m_errorResponse) {
@@ -531,7 +536,8 @@
                            std::optional<std::chrono::milliseconds> retryAfter)
 {
     auto response = Http::errorResponse(Core::Error(kind, reason));
-    // The request itself is proper; it is this service that will not take it any more.
+    // The request itself is valid, but this service does not accept it any more, hence a server
+    // error.
     if (kind == Core::ErrorKind::PoisonRequest)
         response.status = 503;
     response.headers.remove("Retry-After");
--- a/Libraries/LibGateway/RequestRelay.h
+++ b/Libraries/LibGateway/RequestRelay.h
@@ -18,8 +18,8 @@
 
 namespace Gateway {
 
-/// Carries one request of a caller: sends it to the upstreams that are planned for it, decides what
-/// may be tried again, and brings the answer back. Lives as long as the request.
+/// Handles one request of a caller: sends it to the planned upstreams, decides whether to retry,
+/// and relays the answer. Its lifetime is that of the request.
 class RequestRelay
 {
 public:
@@ -31,21 +31,21 @@
     boost::asio::awaitable<void> run();
 
 private:
-    /// How one attempt ended.
+    /// The outcome of one attempt.
     enum class AttemptEnd {
-        /// The caller has the whole answer.
+        /// The complete answer was relayed to the caller.
         Answered,
-        /// The upstream failed the request by its own answer, which is kept.
+        /// The upstream answered with a server error, which is stored in m_errorResponse.
         ServerError,
-        /// Nothing was sent.
+        /// No data was sent.
         NotSent,
-        /// The upstream states that it did not run the request.
+        /// The upstream states that it did not execute the request.
         NotExecuted,
-        /// Broken before any part of the answer reached the caller.
+        /// The upstream failed before any part of the answer was relayed.
         Interrupted,
-        /// Broken after events reached the caller.
+        /// The upstream failed after part of the answer was relayed.
         StreamInterrupted,
-        /// Nobody waits any more: the caller left or its time is over.
+        /// The caller disconnected or the deadline expired.
         Cancelled,
     };
     enum class CancelReason {
@@ -53,7 +53,8 @@
         CallerDisconnected,
         DeadlineExpired,
     };
-    /// Judges the request anew before another attempt; keeps its route when that is denied.
+    /// Authorizes the request again before another attempt. If that is denied, the previous route
+    /// and tenant stay set.
     std::optional<Refusal> reauthorize();
     void startTimers();
     void cancel(CancelReason reason);
@@ -75,7 +76,7 @@
     boost::asio::awaitable<void> refuse(const Refusal &refusal);
     boost::asio::awaitable<void> respondError(Core::ErrorKind kind, const std::string &reason,
                                               std::optional<std::chrono::milliseconds> retryAfter);
-    /// Keeps new requests from an upstream that does not answer at its address.
+    /// Pauses an upstream that could not be reached, and reports it to siblings.
     void noteUnreachable();
     void noteRefusedByUpstream(unsigned status, const AnswerHead &head);
     void noteAttempt(std::string_view end, const std::string &reason) const;
@@ -84,23 +85,24 @@
     Gateway &m_gateway;
     Http::ServerExchange &m_exchange;
     AcceptedRequest m_request;
-    /// Where the last attempt went or goes; none before the first.
+    /// The plan of the current or last attempt; empty before the first.
     std::optional<RequestPlan> m_plan;
     std::set<Core::UpstreamId> m_excluded;
-    /// Upstreams that may have run the request.
+    /// Number of attempts that an upstream may have executed.
     unsigned m_executions = 0;
     RequestProgress m_progress;
     bool m_mayHaveExecuted = false;
     std::optional<Http::Response> m_errorResponse;
     Http::EventSplitter m_events;
     bool m_hasTimedOut = false;
-    /// Whether the last attempt was given up before its first byte, as the choice was outdated.
+    /// Whether the last attempt was cancelled before its first byte was sent because the plan was
+    /// outdated.
     bool m_isPlanOutdated = false;
     CancelReason m_cancelReason = CancelReason::None;
 
     std::shared_ptr<Http::CallAbort> m_abort;
     std::unique_ptr<boost::asio::steady_timer> m_timer;
-    /// Tells callbacks that outlive the relay that it is gone.
+    /// False once the relay is destroyed, for callbacks that outlive it.
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/Libraries/LibGateway/RetryBudgetShare.cpp
+++ b/Libraries/LibGateway/RetryBudgetShare.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Seconds are whole here while the bound's window slides, and an instance may start while another
-// still counts: a part of the bound stays unused.
+// Counts are kept per whole second while the window of the limit slides, and an instance may start
+// while the requests of another still count, so part of the budget stays unused.
 constexpr double UsedShare = 0.75;
 
 std::int64_t secondNumber(Core::Clock::Monotonic now)
@@ -42,7 +42,7 @@
             continue;
         if (entry.number > newest - limits.window.count())
             requests += entry.requests;
-        // One second more, since the bound's window may begin within it.
+        // One second more, since the window of the limit may start within it.
         if (entry.number >= newest - limits.window.count())
             repeats += entry.repeats;
     }
--- a/Libraries/LibGateway/RetryBudgetShare.h
+++ b/Libraries/LibGateway/RetryBudgetShare.h
@@ -8,26 +8,26 @@
 
 namespace Gateway {
 
-/// What all instances together may send again to one service.
+/// The limit on retries that all instances together may send to one service.
 struct RetryBudgetLimits
 {
-    /// Repeats for each request of the window.
+    /// Retries per request within the window.
     double ratio = 0.1;
-    /// Repeats of the window that are allowed besides, over all instances.
+    /// Additional retries within the window, for all instances together.
     double slack = 10;
     std::chrono::seconds window {10};
 };
 
-/// One instance's share of a service's repeats in a sliding window. Every instance takes the ratio
-/// of its own requests and an equal part of the slack, so that no exchange is needed to keep the
-/// bound while instances are cut off.
+/// The share of a service's retry budget that one instance may use in a sliding window. Each
+/// instance uses the ratio of its own requests and an equal part of the slack, so the limit holds
+/// without communication, even while instances are partitioned.
 class RetryBudgetShare
 {
 public:
-    /// A request of a caller came for the service.
+    /// Records a caller's request for the service.
     void noteRequest(Core::Clock::Monotonic now);
-    /// Takes one repeat. False when this instance's share is used up. While the number of instances
-    /// is not known, an instance has no part of the slack.
+    /// Consumes one retry. Returns false if this instance's share is used up. The share contains no
+    /// slack while the number of instances is unknown.
     bool tryRepeat(const RetryBudgetLimits &limits, std::optional<unsigned> instances,
                    Core::Clock::Monotonic now);
 
--- a/Libraries/LibGateway/Upstream.cpp
+++ b/Libraries/LibGateway/Upstream.cpp
@@ -7,16 +7,17 @@
 
 namespace {
 
-// The weight of a new sample in the moving averages.
+// Smoothing factors of the moving averages.
 constexpr double FailureGain = 0.25;
 constexpr double SlownessGain = 0.1;
-// The failure share halves in this time without answers, so that an upstream is tried again.
+// The failure share halves in this time without answers, so that the upstream is tried again.
 constexpr std::chrono::duration<double> FailureHalfLife {3.0};
 constexpr double MinSlowness = 0.7;
 constexpr double MaxSlowness = 4;
-// Two instances that cannot reach an upstream within this time are not cut off by chance.
+// Two siblings that report an upstream as unreachable within this time are unlikely to be both
+// partitioned themselves.
 constexpr std::chrono::milliseconds UnreachableWindow {1'500};
-// Engines read prompts in pieces of about this size.
+// Typical size of a prefill chunk.
 constexpr std::uint64_t PrefillChunkTokens = 2'048;
 
 } // namespace
@@ -38,7 +39,7 @@
     }
     for (const auto &[model, version] : previous.weights) {
         auto &known = m_report.weights[model];
-        // A report can be older than what an answer showed.
+        // The report may be older than the version seen in an answer.
         known = std::max(known, version);
         if (known != version)
             m_prefixCache.clear();
@@ -76,7 +77,7 @@
     if (!isUrgent)
         return all;
     const auto urgent = m_waitingTokens.urgent + m_siblingLoad.waitingTokens.urgent;
-    // What is being read is not put aside for an urgent request.
+    // The chunk that is being prefilled is not preempted by an urgent request.
     return urgent + std::min(all - urgent, PrefillChunkTokens);
 }
 
--- a/Libraries/LibGateway/Upstream.h
+++ b/Libraries/LibGateway/Upstream.h
@@ -9,88 +9,93 @@
 
 namespace Gateway {
 
-/// Prompt tokens that an upstream has still to read.
+/// Prompt tokens that are queued for prefill at an upstream.
 struct WaitingTokens
 {
     std::uint64_t all = 0;
-    /// Of them, those of urgent requests, which are read first.
+    /// The part of them that belongs to urgent requests, which are prefilled first.
     std::uint64_t urgent = 0;
 };
 
-/// What the other instances have sent to an upstream.
+/// The load that the other instances put on an upstream.
 struct SiblingLoad
 {
     WaitingTokens waitingTokens;
     unsigned inFlight = 0;
-    /// Tokens that their requests hold in its memory, or will when they run.
+    /// Engine memory that their running and queued requests occupy, in tokens.
     std::uint64_t memoryTokens = 0;
 };
 
-/// One upstream as this instance knows it: its last report, what this instance has sent it, and how
-/// it answered.
+/// The state of an upstream as seen by this instance: its last report, the load on it and its
+/// recent outcomes.
 class Upstream
 {
 public:
-    /// Nothing goes for this long to an upstream that could not be reached.
+    /// Pause of an upstream that could not be reached.
     static constexpr std::chrono::milliseconds UnreachablePause {1'000};
 
     explicit Upstream(UpstreamReport report);
 
     const UpstreamReport &report() const { return m_report; }
-    /// Takes a newer report of the same upstream. Returns whether another life of it began.
+    /// Applies a newer report of this upstream. Returns whether a new incarnation of it started.
     bool update(UpstreamReport report);
-    /// Whether it left the list, so that nothing new goes to it.
+    /// Whether the upstream was removed from the list and receives no new requests.
     bool isRemoved() const { return m_isRemoved; }
     void setRemoved() { m_isRemoved = true; }
 
-    /// Tokens that this instance's requests hold in its memory, or will when they run.
+    /// Returns the engine memory that this instance's running and queued requests occupy, in
+    /// tokens.
     std::uint64_t memoryTokens() const { return m_memoryTokens; }
     void reserveMemory(std::uint64_t tokens) { m_memoryTokens += tokens; }
     void releaseMemory(std::uint64_t tokens);
-    /// The same of all instances.
+    /// Returns the same for all instances.
     std::uint64_t allMemoryTokens() const { return m_memoryTokens + m_siblingLoad.memoryTokens; }
 
-    /// Requests of this instance that it works on.
+    /// Returns the number of this instance's requests at the upstream.
     unsigned inFlight() const { return m_inFlight; }
-    /// Prompt tokens of this instance's requests that it has still to read.
+    /// Returns the prompt tokens of this instance's requests that are still to be prefilled.
     WaitingTokens waitingTokens() const { return m_waitingTokens; }
     void noteSent(std::uint64_t tokens, bool isUrgent);
     void noteFirstToken(std::uint64_t tokens, bool isUrgent);
     void noteEnd();
 
-    /// What the other instances said last of their own requests here.
+    /// Sets the load that the other instances last reported.
     void setSiblingLoad(const SiblingLoad &load) { m_siblingLoad = load; }
     const SiblingLoad &siblingLoad() const { return m_siblingLoad; }
-    /// Tokens of all instances that are read before those of a new request.
+    /// Returns the tokens of all instances that are prefilled before those of a new request.
     std::uint64_t tokensAhead(bool isUrgent) const;
-    /// Requests of all instances that it works on.
+    /// Returns the number of all instances' requests at the upstream.
     unsigned allInFlight() const { return m_inFlight + m_siblingLoad.inFlight; }
 
-    /// How the answers ended, for judging by what it does rather than by what it says.
+    /// Records the outcome of an attempt, so that failing upstreams are detected by their answers
+    /// and not only by their reports.
     void noteOutcome(bool isSuccess, Core::Clock::Monotonic now);
-    /// A share from 0 to 1 of recent requests that failed; fades with time.
+    /// Returns the share of recent attempts that failed, from 0 to 1; it decays over time.
     double failureShare(Core::Clock::Monotonic now) const;
 
-    /// How much slower than its service's rate it reads prompts; 1 is the usual.
+    /// Returns the ratio of the actual to the expected time to the first token; 1 is normal, and
+    /// more is slower.
     double slowness() const { return m_slowness; }
     void noteSlowness(double sample);
 
     PrefixCacheEstimate &prefixCache() { return m_prefixCache; }
-    /// Notes that it read or used a prompt's parts.
+    /// Records that the upstream prefilled or used the parts of a prompt.
     void noteCached(std::span<const PromptPart> parts) { m_prefixCache.noteUse(parts); }
     const PrefixCacheEstimate &prefixCache() const { return m_prefixCache; }
 
-    /// The version of the model's weights that it was last seen to have; 0 when unknown.
+    /// Returns the last known version of the model's weights; 0 if unknown.
     std::uint64_t weights(const std::string &model) const;
-    /// Notes weights that it was seen to have. New weights mean that its memory is empty.
+    /// Records the version of the weights that the upstream has. A newer version clears the
+    /// estimate of its prefix cache.
     void noteWeights(const std::string &model, std::uint64_t version);
 
-    /// Notes that another instance could not reach it. One that says so may be cut off itself; when
-    /// two say so within a while, nothing new goes there for the given time.
+    /// Records that a sibling could not reach the upstream. A single sibling may be partitioned
+    /// itself, so the upstream is paused for the given time only when two siblings report it within
+    /// a short time.
     void noteUnreachable(const std::string &sibling, std::chrono::milliseconds pause,
                          Core::Clock::Monotonic now);
 
-    /// Until when an order keeps it from beginning requests.
+    /// Returns the time until which the upstream receives no new requests.
     Core::Clock::Monotonic pausedUntil() const { return m_pausedUntil; }
     void pauseUntil(Core::Clock::Monotonic time) { m_pausedUntil = time; }
 
@@ -105,7 +110,7 @@
     Core::Clock::Monotonic m_lastOutcome = Core::Clock::Monotonic::min();
     double m_slowness = 1;
     Core::Clock::Monotonic m_pausedUntil = Core::Clock::Monotonic::min();
-    /// The last sibling that could not reach it, and when.
+    /// The last sibling that reported the upstream as unreachable, and the time of the report.
     std::string m_unreachableReporter;
     Core::Clock::Monotonic m_unreachableReportedAt = Core::Clock::Monotonic::min();
     bool m_isRemoved = false;
--- a/Libraries/LibGateway/UpstreamChooser.cpp
+++ b/Libraries/LibGateway/UpstreamChooser.cpp
@@ -9,26 +9,28 @@
 
 using Milliseconds = EngineModel::Milliseconds;
 
-// What a wholly failing upstream costs in the comparison.
+// The cost of an upstream whose attempts all fail.
 constexpr Milliseconds FailureCost {1'500};
-// An engine with all slots taken makes a request wait for a run to end.
+// The cost of each request beyond an engine's slots, since it has to wait for a running request to
+// finish.
 constexpr Milliseconds FullSlotCost {40};
-// A request on weights older than the named ones loses a part of its worth after a while.
+// The cost of weights that have been outdated for longer than the grace time, since an answer
+// computed with them is worth less.
 constexpr Milliseconds OutdatedWeightsCost {300};
 constexpr std::chrono::milliseconds OutdatedWeightsGrace {1'000};
-// What the tokens that an engine has to read cost the others that wait for it.
+// The weight of the delay that a prompt's prefill causes for other requests at the engine.
 constexpr double PrefillDelayWeight = 1.0;
-// The preferred engine is taken to keep this share of a session's parts, as others may have sent
-// them.
+// The share of a session's parts that is assumed to be cached at the preferred engine, since other
+// instances may have sent them there.
 constexpr double AffinityCredit = 0.5;
 constexpr double FailureWeight = 20;
-// A fetch costs a call to the source; fewer tokens are read sooner.
+// A fetch costs a call to the source; computing fewer tokens than this is faster.
 constexpr unsigned MinFetchTokens = 128;
 constexpr double MaxSourceFailureShare = 0.3;
-// Runs of long answers end, and free their memory, within about this time.
+// Long-running requests finish and free their memory within about this time.
 constexpr Milliseconds MemoryTurnover {3'000};
 
-/// Whether the upstream's weights have been outdated for longer than the given time.
+/// Returns whether the upstream's weights have been outdated for longer than the given time.
 bool isOutdated(const Upstream &upstream, const EngineDemand &demand,
                 std::chrono::milliseconds time, Core::Clock::Monotonic now)
 {
@@ -38,7 +40,7 @@
     return since && now - *since > time;
 }
 
-/// The member that rendezvous hashing gives a session; null when there is none.
+/// Returns the candidate that rendezvous hashing assigns to the session; null if there are none.
 std::shared_ptr<Upstream> preferredUpstreamOf(const UpstreamFleet::Members &candidates,
                                               std::uint64_t key)
 {
@@ -54,21 +56,21 @@
     return preferred;
 }
 
-/// The engine that keeps the most of the prompt among those with the same weights.
+/// The engine with the most cached tokens of the prompt among those with the same weights.
 struct BestCache
 {
     std::shared_ptr<Upstream> engine;
     unsigned tokens = 0;
 };
 
-/// The best holder for each version of the weights.
+/// Returns the best holder for each version of the weights.
 std::map<std::uint64_t, BestCache> findBestCaches(const UpstreamFleet::Members &members,
                                                   const EngineDemand &demand,
                                                   const ChoiceLimits &limits)
 {
     std::map<std::uint64_t, BestCache> bestCaches;
     for (const auto &member : members) {
-        // A source that fails costs a fetch some hundred milliseconds.
+        // A fetch from a failing source takes several hundred milliseconds.
         if (member->isRemoved() || member->failureShare(limits.now) > MaxSourceFailureShare)
             continue;
         auto &bestCache = bestCaches[member->weights(demand.model)];
@@ -82,7 +84,8 @@
     return bestCaches;
 }
 
-/// How long a request waits for runs to end until it finds room in the engine's memory.
+/// Estimates the time until enough running requests have finished to free the memory that the
+/// request needs.
 Milliseconds memoryWait(const Upstream &engine, const EngineDemand &demand)
 {
     const auto needed = engine.allMemoryTokens() + demand.memoryTokens;
@@ -101,7 +104,7 @@
         std::min(engine->prefixCache().cachedTokens(demand.parts), demand.promptTokens);
     choice.readyTokens = choice.cachedTokens;
     Milliseconds fetch {0};
-    // Engines forget what the store still holds, so the store goes first where both have it.
+    // Engines evict parts that the store still has, so the store is preferred if both have them.
     const auto stored =
         demand.store ? demand.store->storedTokens(demand.parts, engine->weights(demand.model)) : 0;
     const bool isFromStore = stored > 0 && stored >= bestCache.tokens;
@@ -121,8 +124,8 @@
     return choice;
 }
 
-/// Names a source that may keep the session's parts where none is known to. The expected time does
-/// not count on it.
+/// Sets a speculative source if no source of the session's parts is known. The expected time does
+/// not depend on it.
 void setSpeculativeSource(EngineChoice &choice, const EngineDemand &demand,
                           const ChoiceLimits &limits, const std::shared_ptr<Upstream> &preferred)
 {
--- a/Libraries/LibGateway/UpstreamChooser.h
+++ b/Libraries/LibGateway/UpstreamChooser.h
@@ -13,74 +13,75 @@
 
 namespace Gateway {
 
-/// What bounds the choice of an upstream for any request.
+/// Constraints on the choice of an upstream that apply to all requests.
 struct ChoiceLimits
 {
-    /// Requests that this instance may have at one upstream at once.
+    /// Maximum number of concurrent requests of this instance at one upstream.
     unsigned maxInFlight = 1;
-    /// Upstreams that already failed the request.
+    /// Upstreams that the request has already been tried at.
     std::set<Core::UpstreamId> excluded;
     Core::Clock::Monotonic now;
 };
 
-/// A prompt that wants an engine.
+/// The requirements of a prompt that an engine is chosen for.
 struct EngineDemand
 {
     std::span<const PromptPart> parts;
     unsigned promptTokens = 0;
-    /// Of the last part that other requests share; equal for all requests of one session.
+    /// Hash of the shared parts; equal for all requests of one session.
     std::uint64_t affinityKey = 0;
     unsigned sharedTokens = 0;
-    /// Whether engines read it before what is less urgent.
+    /// Whether engines prefill the prompt before less urgent ones.
     bool isUrgent = false;
     std::string model;
-    /// The weights that were named; null when none matter.
+    /// The versions of the weights that engines should have; null if the version does not matter.
     const WeightsTargets *targets = nullptr;
-    /// Engines whose weights have been outdated for longer are passed over.
+    /// Engines whose weights have been outdated for longer than this are skipped.
     std::chrono::milliseconds maxOutdatedTime {0};
     unsigned slots = 1;
-    /// Tokens of an engine's memory that the request will hold, and all that an engine has.
+    /// Engine memory that the request is expected to occupy, and the total memory of an engine, in
+    /// tokens.
     std::uint64_t memoryTokens = 0;
     std::uint64_t memoryCapacity = 0;
-    /// The store for the session's parts; null when there is none that answers.
+    /// The KV cache store of the session's parts; null if none answers.
     const KvCacheStore *store = nullptr;
-    /// How fast engines pass cached parts to each other; zero when they cannot.
+    /// The rate at which engines transfer cached parts to each other; zero if they cannot.
     double fetchTokensPerMillisecond = 0;
 };
 
-/// An engine and what is expected of it.
+/// The chosen engine and the estimates for it.
 struct EngineChoice
 {
     std::shared_ptr<Upstream> upstream;
-    /// Leading tokens of the prompt that it is believed to keep.
+    /// Leading tokens of the prompt that are estimated to be in the engine's prefix cache.
     unsigned cachedTokens = 0;
-    /// Another engine with the same weights that keeps more, or may; null when fetching does not
-    /// pay.
+    /// Another engine with the same weights to fetch cached parts from; null if a fetch is not
+    /// worthwhile.
     std::shared_ptr<Upstream> source;
-    /// Whether the store of parts holds more, and is the source instead.
+    /// Whether the KV cache store is the source instead.
     bool isFromStore = false;
-    /// Whether the source is only guessed to have what others may have read.
+    /// Whether the source is speculative, that is, it is not known to have the parts.
     bool isSpeculative = false;
-    /// Leading tokens that are believed to need no reading, with what is fetched.
+    /// Leading tokens that are not expected to need prefill, including fetched ones.
     unsigned readyTokens = 0;
     EngineModel::Milliseconds expectedFirst {0};
 };
 
-/// Chooses the engine with the least cost: the expected time to the first token, and the time that
-/// reading the prompt there takes from others. Answers load that comes in bursts while shared parts
-/// lie at few engines; sessions keep to a preferred engine that all instances agree on without
-/// talking. Where nobody is known to keep a session's parts, the engine is told to ask its
-/// preferred engine or the store: a fetch in vain costs a millisecond, and other instances may have
-/// had the parts read.
+/// Chooses the engine with the lowest cost: the expected time to the first token, plus the delay
+/// that the prompt's prefill causes for other requests. This spreads bursts of requests whose
+/// shared parts are cached at few engines. A session has a preferred engine, which all instances
+/// derive by hashing without communication. If no engine is known to have a session's parts, the
+/// chosen engine is instructed to query the preferred engine or the KV cache store: a miss costs a
+/// millisecond, and another instance may have sent the same parts there.
 std::optional<EngineChoice> chooseEngine(const UpstreamFleet::Members &members,
                                          const EngineModel &model, const EngineDemand &demand,
                                          const ChoiceLimits &limits);
 
-/// Chooses the upstream with the least work and the fewest failures; equal ones at random.
+/// Chooses the upstream with the lowest load and failure share; ties are broken at random.
 std::shared_ptr<Upstream> chooseService(const UpstreamFleet::Members &members,
                                         const ChoiceLimits &limits, std::minstd_rand &random);
 
-/// Whether anything new may go to the upstream at all.
+/// Returns whether the upstream may receive new requests.
 bool mayReceiveRequests(const Upstream &upstream, const ChoiceLimits &limits);
 
 } // namespace Gateway
--- a/Libraries/LibGateway/UpstreamFleet.h
+++ b/Libraries/LibGateway/UpstreamFleet.h
@@ -11,21 +11,21 @@
 
 namespace Gateway {
 
-/// The upstreams of all services, as their list tells.
+/// The upstreams of all services, as listed in the log.
 class UpstreamFleet
 {
 public:
     using Members = std::vector<std::shared_ptr<Upstream>>;
 
-    /// Takes one entry of the list. An entry older than what is known changes nothing.
+    /// Adds or updates an upstream. Reports older than the known one are ignored.
     void apply(UpstreamReport report);
-    /// Takes an upstream off the list.
+    /// Removes an upstream that is no longer listed.
     void remove(const Core::UpstreamId &id);
 
-    /// The upstreams of a service, draining ones included.
+    /// Returns the upstreams of a service, including draining ones.
     const Members &members(const std::string &service) const;
     std::shared_ptr<Upstream> find(const Core::UpstreamId &id) const;
-    /// Finds an upstream by hashOf() its id, as siblings name it.
+    /// Finds an upstream by the hashOf() its id, which siblings use in their updates.
     std::shared_ptr<Upstream> findByHash(std::uint64_t hash) const;
     static std::uint64_t hashOf(const Core::UpstreamId &id);
     const std::map<Core::UpstreamId, std::shared_ptr<Upstream>> &all() const { return m_all; }
--- a/Libraries/LibGateway/UpstreamLoad.h
+++ b/Libraries/LibGateway/UpstreamLoad.h
@@ -6,7 +6,7 @@
 
 namespace Gateway {
 
-/// Keeps an upstream's counts of one request that is sent to it, until the request ends there.
+/// Counts one request in the load of an upstream, from construction to destruction.
 class UpstreamLoad
 {
 public:
@@ -31,7 +31,7 @@
     UpstreamLoad(const UpstreamLoad &) = delete;
     UpstreamLoad &operator=(const UpstreamLoad &) = delete;
 
-    /// Returns whether this was the first token.
+    /// Records that the upstream has prefilled the prompt. Returns whether this was the first call.
     bool noteFirstToken()
     {
         if (m_hasFirstToken)
@@ -41,7 +41,7 @@
         return true;
     }
     std::uint64_t tokens() const { return m_tokens; }
-    /// Whether the upstream had no other prompt to read when this one was sent.
+    /// Whether no other prompts were queued for prefill when this request was sent.
     bool isOnlyPrompt() const { return m_isOnlyPrompt; }
     Core::Clock::Monotonic sent() const { return m_sent; }
 
--- a/Libraries/LibGateway/UpstreamReport.h
+++ b/Libraries/LibGateway/UpstreamReport.h
@@ -10,7 +10,7 @@
 
 namespace Gateway {
 
-/// What an upstream says of itself in the list.
+/// A report of an upstream's state, as listed in the log.
 struct UpstreamReport
 {
     Core::UpstreamId id;
@@ -19,11 +19,11 @@
     std::string dataCentre;
     unsigned slots = 1;
     bool isDraining = false;
-    /// Rises with each report of one life.
+    /// Sequence number of the report within an incarnation.
     std::uint64_t sequence = 0;
-    /// When this life of the upstream began, in the upstream's calendar time.
+    /// When this incarnation of the upstream started, by the upstream's wall clock.
     std::chrono::milliseconds startTime {0};
-    /// The weights in force, by model.
+    /// Versions of the weights in force, by model.
     std::map<std::string, std::uint64_t> weights;
 };
 
--- a/Libraries/LibGateway/Urgency.cpp
+++ b/Libraries/LibGateway/Urgency.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr int MaxUrgencyLevel = 9;
-// Levels of urgency for each priority.
+// Number of urgency levels for each priority.
 constexpr int LevelsPerPriority = 3;
 
 int effectivePriority(const Route &route, const Tenant *tenant)
--- a/Libraries/LibGateway/Urgency.h
+++ b/Libraries/LibGateway/Urgency.h
@@ -4,12 +4,12 @@
 
 namespace Gateway {
 
-/// The level that engines are told for a request, from 0 (first) to 9. A team's priority takes
-/// precedence over its route's; of one priority, what can still be in time goes first, and then
-/// what its route ranks first. The team may be null.
+/// Returns the urgency level to send to engines, from 0 (most urgent) to 9. A team's priority
+/// overrides that of the route. Within a priority, requests that can still meet their target
+/// precede late ones, and routes of higher priority precede the others. The team may be null.
 int urgencyLevel(const Route &route, const Tenant *tenant, bool isLate);
 
-/// Whether the request belongs to those that are served before others when engines are short.
+/// Returns whether the request precedes others when engines are overloaded.
 bool isUrgent(const Route &route, const Tenant *tenant);
 
 } // namespace Gateway
--- a/Libraries/LibGateway/WeightsRollout.cpp
+++ b/Libraries/LibGateway/WeightsRollout.cpp
@@ -17,20 +17,23 @@
 
 constexpr auto IdleInterval = 30ms;
 constexpr auto StateInterval = 60ms;
-// A lease is renewed while this much of it is left, and no order goes out in its last part.
+// The lease is renewed when less than RenewMargin is left. No orders are sent in its last
+// OrderMargin.
 constexpr auto RenewMargin = 700ms;
 constexpr auto OrderMargin = 300ms;
-// Instances try for a free lease one after the other, so that most calls are not in vain.
+// Instances try to acquire a free lease in turn, at this interval, to avoid conflicts.
 constexpr auto TurnInterval = 60ms;
-// An engine that carries out an order refuses requests; what was sent before the order goes first.
+// An engine refuses requests while it executes an order, so it is paused, and the requests sent
+// before the order are started first.
 constexpr auto PauseTime = 2'500ms;
-// What siblings sent before they heard of the pause gets time to begin at the engine.
+// Time for requests that siblings sent before they received the pause to start at the engine.
 constexpr std::chrono::milliseconds MinPauseNotice = 20ms;
 constexpr std::chrono::milliseconds MaxPauseNotice = 300ms;
 constexpr auto MaxOrderTime = 3'000ms;
 constexpr auto ConflictBackOff = 250ms;
 constexpr auto FailureBackOff = 1'000ms;
-// The part of the engines that take weights at the same time. More would leave too few to serve.
+// At most the total divided by this loads weights at a time. More would leave too few engines to
+// serve requests.
 constexpr std::size_t RollingDivisor = 2;
 
 } // namespace
@@ -56,7 +59,8 @@
                      m_dependencies.targets.outdatedSince(model, known).value_or(now)});
         }
     }
-    // The longest outdated first; of those, engines with little to finish are ready soonest.
+    // Engines with the longest outdated weights come first; among them, those with the fewest
+    // requests in flight are ready soonest.
     std::sort(result.begin(), result.end(), [](const Task &left, const Task &right) {
         const auto work = [](const Task &task) { return task.engine->allInFlight(); };
         return std::pair(left.since, work(left)) < std::pair(right.since, work(right));
@@ -93,7 +97,7 @@
 
 bool WeightsRollout::isTurn(Core::Clock::Monotonic targetSince) const
 {
-    // Members that do not answer would only make the others wait for their turn.
+    // Members that do not respond would only delay the others' turns.
     const auto before = m_dependencies.members.reachableBefore("orders");
     return m_dependencies.clock.now() >= targetSince + before * TurnInterval;
 }
@@ -178,7 +182,8 @@
     task.engine->pauseUntil(m_dependencies.clock.now() + PauseTime);
     if (onPause)
         onPause(*task.engine, PauseTime);
-    // An order ends the wait of what has not begun; those requests would have to go elsewhere.
+    // An engine drops its queued requests when it receives an order, and they would have to be
+    // retried at other engines.
     co_await sleepFor(timeUntilStarted(*task.engine));
     const auto token =
         m_dependencies.journal.lease().token(m_dependencies.clock.now(), OrderMargin);
@@ -203,7 +208,8 @@
         co_return true;
     }
     m_dependencies.metrics.orders.add(1, {}, "refused");
-    // Another life of the engine counts anew, and its own word is as good as ours then.
+    // The engine may have restarted and count from zero again, so the next order relies on its own
+    // count.
     m_acceptedOrders.erase(id);
     if (outcome == OrderOutcome::AlreadyInForce) {
         EngineState loaded;
--- a/Libraries/LibGateway/WeightsRollout.h
+++ b/Libraries/LibGateway/WeightsRollout.h
@@ -12,8 +12,8 @@
 
 namespace Gateway {
 
-/// Brings engines to the weights that operators named, some at a time, while this instance holds
-/// the lease for orders.
+/// Updates engines to the weights that operators configured, a few at a time, while this instance
+/// holds the order lease.
 class WeightsRollout
 {
 public:
@@ -27,33 +27,34 @@
         const Core::Clock &clock;
         GatewayMetrics &metrics;
         Core::InstanceId self;
-        /// When an engine is expected to have read this many tokens; may be empty.
+        /// Estimates the time until the upstream has prefilled this many tokens; may be empty.
         std::function<EngineModel::Milliseconds(const Upstream &, std::uint64_t tokens)>
             expectedFirst;
     };
 
     explicit WeightsRollout(Dependencies dependencies);
 
-    /// Works until the process ends.
+    /// Runs until the process ends.
     boost::asio::awaitable<void> run();
 
-    /// Asks an engine for its weights, unless it is being asked.
+    /// Queries an engine for its weights, unless a query is in progress.
     boost::asio::awaitable<void> refresh(std::shared_ptr<Upstream> engine);
 
-    /// Called when an engine is to begin nothing for a while, so that siblings hear of it.
+    /// Called when an engine must not receive new requests for the given time, so that siblings can
+    /// be informed; zero ends the pause.
     std::function<void(const Upstream &, std::chrono::milliseconds)> onPause;
-    /// Called when an engine was seen to have weights.
+    /// Called when an engine was found to have a newer version of the weights than was known.
     std::function<void(const Upstream &, const std::string &model, std::uint64_t version)>
         onWeightsSeen;
 
 private:
-    /// One engine that has older weights than were named.
+    /// An engine to update to newer weights.
     struct Task
     {
         std::shared_ptr<Upstream> engine;
         std::string model;
         std::uint64_t version = 0;
-        /// Since when the engine's weights are outdated.
+        /// The time since which the engine's weights have been outdated.
         Core::Clock::Monotonic since;
     };
 
@@ -62,7 +63,7 @@
     boost::asio::awaitable<bool> ensureLease(Core::Clock::Monotonic targetSince);
     boost::asio::awaitable<void> roll(Task task);
     boost::asio::awaitable<bool> sendOrder(const Task &task);
-    /// How long what waits at the engine takes until it runs.
+    /// Estimates the time until all queued requests have started at the engine.
     std::chrono::milliseconds timeUntilStarted(const Upstream &engine) const;
     boost::asio::awaitable<void> awaitWeights(const Task &task);
     boost::asio::awaitable<EngineState> stateOf(Upstream &engine);
@@ -71,7 +72,8 @@
 
     Dependencies m_dependencies;
     std::map<Core::UpstreamId, Core::Clock::Monotonic> m_notBefore;
-    /// Orders that engines are known to have accepted, where their own word may be older.
+    /// The number of orders that each engine is known to have accepted; its last reported count may
+    /// be older.
     std::map<Core::UpstreamId, std::uint64_t> m_acceptedOrders;
     std::size_t m_running = 0;
     std::map<Core::UpstreamId, bool> m_isRolling;
--- a/Libraries/LibGateway/WeightsTargets.cpp
+++ b/Libraries/LibGateway/WeightsTargets.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Older ones are outdated for so long that nothing runs on them any more.
+// Older targets are dropped; no engine runs weights that old.
 constexpr std::size_t MaxTargets = 64;
 
 } // namespace
--- a/Libraries/LibGateway/WeightsTargets.h
+++ b/Libraries/LibGateway/WeightsTargets.h
@@ -10,7 +10,8 @@
 
 namespace Gateway {
 
-/// The weights that operators named for each model, and when this instance learnt it.
+/// The versions of each model's weights that operators have requested, and when this instance
+/// learned of them.
 class WeightsTargets
 {
 public:
@@ -20,16 +21,17 @@
         Core::Clock::Monotonic learnedAt;
     };
 
-    /// Takes a higher version. Returns whether it was one.
+    /// Adds a target. Returns false if the version is not higher than the newest one.
     bool addTarget(const std::string &model, std::uint64_t version, Core::Clock::Monotonic now);
-    /// The newest target of each model that one was named for.
+    /// Returns the newest target of each model.
     std::map<std::string, Target> newest() const;
-    /// Since when weights of this version are known to be outdated; none while they are the newest.
+    /// Returns the time since which weights of this version are known to be outdated; empty if they
+    /// are the newest.
     std::optional<Core::Clock::Monotonic> outdatedSince(const std::string &model,
                                                         std::uint64_t version) const;
 
 private:
-    /// In rising order of version.
+    /// Sorted by version, ascending.
     std::map<std::string, std::vector<Target>> m_targets;
 };
 
--- a/Tests/LibGateway/TestConfiguration.cpp
+++ b/Tests/LibGateway/TestConfiguration.cpp
@@ -79,7 +79,7 @@
     clock.advance(3s);
     state.confirm(asked);
     CHECK(state.age(clock.now()) == 3s);
-    // An answer that comes late to an older question makes nothing younger.
+    // A late confirmation of an older read does not reduce the age.
     state.confirm(asked - 1s);
     CHECK(state.age(clock.now()) == 3s);
 }
--- a/Tests/LibGateway/TestMemory.cpp
+++ b/Tests/LibGateway/TestMemory.cpp
@@ -49,7 +49,7 @@
     CHECK(store.noteAnswer(7));
     store.noteStored(Gateway::KvCacheStore::storedParts(parts, 3));
     CHECK(store.storedTokens(parts, 3) == 300);
-    // Parts that other weights made are other parts.
+    // Parts computed with other weights are distinct.
     CHECK(store.storedTokens(parts, 4) == 0);
     CHECK(store.noteSilence());
     CHECK(store.storedTokens(parts, 3) == 0);
@@ -149,7 +149,7 @@
     CHECK(fresh.find(Core::UpstreamId("reloaded"))->prefixCache().cachedTokens(parts) == 0);
     CHECK(freshStores.find(holder)->storedTokens(parts, 3) == 300);
 
-    // A store that began another life holds none of it.
+    // A store that restarted has none of the parts.
     Gateway::KvCacheStores emptied;
     emptied.configure({place});
     emptied.noteAnswer(holder, 8, clock.now());
--- a/Tests/LibGateway/TestPlacement.cpp
+++ b/Tests/LibGateway/TestPlacement.cpp
@@ -89,7 +89,7 @@
     cachedEngine.noteSent(60'000, true);
     const auto alternative = fixture.choose();
     CHECK(alternative->upstream->report().id != cachedEngine.report().id);
-    // The parts are fetched from it then, not read again.
+    // The parts are fetched from the engine that has them instead of being prefilled again.
     CHECK(alternative->source->report().id == cachedEngine.report().id);
     CHECK(alternative->readyTokens == 5'000);
 }
@@ -98,7 +98,7 @@
 {
     Fixture fixture;
     const auto preferred = fixture.chosen();
-    // The preferred engine itself has nobody else to ask while there is no store.
+    // The preferred engine itself has no other source while there is no store.
     CHECK_FALSE(fixture.choose()->source);
     CHECK_FALSE(fixture.choose()->isFromStore);
     Gateway::KvCacheStore store(Http::parseEndpoint("127.0.0.1:9").value());
@@ -110,9 +110,9 @@
     REQUIRE(alternative->source);
     CHECK(alternative->source->report().id.value() == preferred);
     CHECK_FALSE(alternative->isFromStore);
-    // The guess is no reason to expect less reading.
+    // A speculative source does not reduce the expected prefill.
     CHECK(alternative->readyTokens == 0);
-    // Too little to be worth a call.
+    // Too few tokens to be worth a fetch.
     fixture.demand.sharedTokens = 100;
     CHECK_FALSE(fixture.choose()->source);
 }
--- a/Tests/LibGateway/TestRetries.cpp
+++ b/Tests/LibGateway/TestRetries.cpp
@@ -11,7 +11,7 @@
 
 TEST_CASE("repeats of all instances stay within the bound in every window, under failing upstreams")
 {
-    // Every request fails and wants a repeat: the most that instances can press for.
+    // Every request fails and is retried, which is the maximum demand on the budget.
     constexpr unsigned Instances = 8;
     const Gateway::RetryBudgetLimits limits {0.2, 52, 10s};
     for (const unsigned perSecond : {0U, 5U, 40U}) {
