--- a/Libraries/LibGateway/AcceptedRequest.cpp
+++ b/Libraries/LibGateway/AcceptedRequest.cpp
@@ -13,13 +13,13 @@
 namespace {
 
 constexpr auto ShortRetryAfter = 300ms;
-// Younger knowledge than this part of the configuration's bound is taken to be complete.
-constexpr double CompleteKnowledgeShare = 0.75;
+// A configuration confirmed within this share of the configuration bound counts as up to date.
+constexpr double UpToDateShare = 0.75;
 
 } // namespace
 
-std::optional<Refusal> AcceptedRequest::read(const RequestDialect &dialect,
-                                             const Http::Request &request)
+std::optional<Refusal> AcceptedRequest::decode(const RequestDialect &dialect,
+                                               const Http::Request &request)
 {
     auto decoded = dialect.decode(request);
     if (!decoded)
@@ -30,29 +30,29 @@
 
 std::optional<Refusal> AcceptedRequest::authorize(Gateway &gateway, const Http::Request &request)
 {
-    const auto &known = gateway.dependencies().configuration;
+    const auto &state = gateway.dependencies().configuration;
     const auto now = gateway.dependencies().clock.now();
-    configuration = known.current();
+    configuration = state.current();
     if (!configuration)
         return Refusal {Core::ErrorKind::NotReady, "no configuration is known yet",
                         ShortRetryAfter};
-    // What is not known may have been added since; only fresh knowledge denies it.
-    const bool isComplete =
-        known.age(now)
-        < CompleteKnowledgeShare * gateway.dependencies().settings.configurationBound;
+    // A missing route or key may have been added since the last read, so the request is rejected as
+    // unknown only while the configuration is up to date.
+    const bool isUpToDate =
+        state.age(now) < UpToDateShare * gateway.dependencies().settings.configurationBound;
     const Refusal outOfDate {Core::ErrorKind::NotReady, "the configuration may be out of date",
                              ShortRetryAfter};
     const auto &target = request.target;
     route = configuration->findRoute(caller.host, target.substr(0, target.find('?')));
     if (!route)
-        return isComplete ? Refusal {Core::ErrorKind::UnknownRoute, "no route matches", {}}
+        return isUpToDate ? Refusal {Core::ErrorKind::UnknownRoute, "no route matches", {}}
                           : outOfDate;
     tenant = configuration->findTenant(caller.key);
     if (!route->isPublic && !configuration->tenants.empty()) {
-        if (!gateway.knowsKeys())
+        if (!gateway.hasUpToDateKeys())
             return outOfDate;
         if (!tenant)
-            return isComplete ? Refusal {Core::ErrorKind::Unauthenticated, "unknown key", {}}
+            return isUpToDate ? Refusal {Core::ErrorKind::Unauthenticated, "unknown key", {}}
                               : outOfDate;
     }
     digest = requestDigest(target, tenantName(), request.body);
@@ -60,15 +60,15 @@
         return Refusal {Core::ErrorKind::PoisonRequest, "broke several upstreams", {}};
     deadline = arrival + std::min(caller.callerTimeout.value_or(route->timeout), route->timeout);
     parts.clear();
-    std::uint64_t chain = Core::hash64(cacheScope(), Core::hash64(caller.model));
+    std::uint64_t prefixHash = Core::hash64(cacheScope(), Core::hash64(caller.model));
     for (const auto &part : caller.parts) {
-        chain = Core::hash64(part.id, chain);
-        parts.push_back({chain, part.tokens});
+        prefixHash = Core::hash64(part.id, prefixHash);
+        parts.push_back({prefixHash, part.tokens});
     }
     return std::nullopt;
 }
 
-milliseconds AcceptedRequest::left(Core::Clock::Monotonic now) const
+milliseconds AcceptedRequest::remainingTime(Core::Clock::Monotonic now) const
 {
     return std::max(0ms, duration_cast<milliseconds>(deadline - now));
 }
@@ -80,7 +80,7 @@
 
 std::uint64_t AcceptedRequest::memoryTokens() const
 {
-    // Few answers use all the tokens that they may.
+    // Few answers reach their output limit, so half of it is counted.
     return caller.promptTokens + caller.outputTokens / 2;
 }
 
@@ -91,7 +91,7 @@
 
 unsigned AcceptedRequest::sharedTokens() const
 {
-    // The last part belongs to the request itself.
+    // The last part is specific to this request and not shared.
     return parts.empty() ? 0 : totalTokens(std::span(parts).first(parts.size() - 1));
 }
 
--- a/Libraries/LibGateway/EngineModel.h
+++ b/Libraries/LibGateway/EngineModel.h
@@ -5,24 +5,25 @@
 
 namespace Gateway {
 
-/// How fast the engines of one service read prompts, learnt from their answers.
+/// Estimates the prefill rate of a service's engines from their observed times to the first token.
 class EngineModel
 {
 public:
     using Milliseconds = std::chrono::duration<double, std::milli>;
 
-    /// The expected time to the first token of a prompt when the engine has this many tokens to
-    /// read, its own included.
-    Milliseconds firstToken(std::uint64_t tokensToRead) const;
-    /// Learns from an answer whose prompt met no other at its engine.
-    void learn(unsigned tokensRead, Milliseconds firstToken);
+    /// Returns the expected time to the first token of a prompt if the engine has this many tokens
+    /// to prefill, those of the prompt included.
+    Milliseconds firstToken(std::uint64_t tokensToPrefill) const;
+    /// Updates the rate from an answer whose prompt did not compete with others at its engine.
+    void addSample(unsigned prefilledTokens, Milliseconds firstToken);
     double tokensPerMillisecond() const { return m_tokensPerMillisecond; }
 
 private:
-    // Until the first answers: a slow engine, so that a cold instance spreads its requests.
-    static constexpr double FirstRate = 50;
+    // In tokens per millisecond. Low on purpose, so that an instance without samples spreads its
+    // requests.
+    static constexpr double InitialRate = 50;
 
-    double m_tokensPerMillisecond = FirstRate;
+    double m_tokensPerMillisecond = InitialRate;
 };
 
 } // namespace Gateway
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-// What is sent now may reach an upstream this much later.
+// A request that is sent now may reach the upstream this much later.
 constexpr std::chrono::milliseconds RevocationMargin {400};
 
 } // namespace
@@ -21,7 +21,7 @@
     co_await relay.run();
 }
 
-bool Gateway::knowsKeys() const
+bool Gateway::hasUpToDateKeys() const
 {
     return m_dependencies.configuration.age(m_dependencies.clock.now())
            < m_dependencies.settings.revocationBound - RevocationMargin;
@@ -29,9 +29,10 @@
 
 bool Gateway::isReady() const
 {
-    // Without the members no request could be sent again after a failure.
-    return !m_isDraining && m_dependencies.configuration.current() && knowsKeys()
-           && !m_dependencies.fleet.all().empty() && m_instances;
+    // While the number of members is unknown, the retry budget has no slack, so a failed request
+    // might not be retried.
+    return !m_isDraining && m_dependencies.configuration.current() && hasUpToDateKeys()
+           && !m_dependencies.fleet.all().empty() && m_instanceCount;
 }
 
 } // namespace Gateway
--- a/Libraries/LibGateway/RequestPlan.cpp
+++ b/Libraries/LibGateway/RequestPlan.cpp
@@ -13,23 +13,24 @@
 namespace {
 
 constexpr auto ShortRetryAfter = 300ms;
-constexpr auto LeastRetryAfter = 100ms;
-// Streams are given up by callers after this many times the target without a first event.
-constexpr double PatienceInTargets = 4;
-// What is less urgent waits for at most this part of its target: a longer queue serves no more
-// requests, and delays the urgent ones that share the engines' steps with it.
-constexpr double QueueInTargets = 0.5;
-// Of a stream's time, this share may be spent on waiting for the first token.
+constexpr auto MinRetryAfter = 100ms;
+// Callers cancel a stream after this multiple of the route's target without a first event.
+constexpr double MaxUrgentWaitTargets = 4;
+// The maximum wait of less urgent requests, as a multiple of the target. A longer queue does not
+// increase throughput, and delays urgent requests that share the engines' steps with it.
+constexpr double MaxQueueWaitTargets = 0.5;
+// The share of a request's remaining time that may be spent waiting for the first token.
 constexpr double FirstTokenShare = 0.85;
-// An engine with older weights is passed over from this part of the weights' bound on.
-constexpr double WeightsPatienceShare = 0.65;
-// Connections beyond an equal share that may still be starting or closing.
+// Engines are skipped when their weights have been outdated for longer than this share of the
+// weights bound.
+constexpr double MaxOutdatedShare = 0.65;
+// Instances that may be starting or shutting down, in addition to the known members.
 constexpr unsigned SpareInstances = 1;
 constexpr double BytesPerMegabit = 125'000;
 constexpr double MillisecondsPerSecond = 1'000;
 
-/// Draws one of the route's services by their weights.
-std::string drawService(Gateway &gateway, const Route &route)
+/// Picks one of the route's services at random, in proportion to their weights.
+std::string pickService(Gateway &gateway, const Route &route)
 {
     std::vector<double> weights;
     for (const auto &entry : route.services)
@@ -38,7 +39,8 @@
     return route.services[pick(gateway.random())].service;
 }
 
-/// How fast engines pass cached parts to each other; 0 when they cannot.
+/// Returns the rate at which engines transfer cached parts to each other, in tokens per
+/// millisecond; 0 if they cannot.
 double fetchRate(const EngineLimits &engine)
 {
     if (engine.bytesPerToken == 0)
@@ -55,13 +57,13 @@
     demand.parts = request.parts;
     demand.promptTokens = request.promptTokens();
     if (request.parts.size() > 1)
-        demand.affinityKey = request.parts[request.parts.size() - 2].chain;
+        demand.affinityKey = request.parts[request.parts.size() - 2].prefixHash;
     demand.sharedTokens = request.sharedTokens();
     demand.model = request.caller.model;
     demand.isUrgent = isUrgent(*request.route, request.tenant);
     demand.targets = &dependencies.weights;
-    demand.weightsPatience =
-        duration_cast<milliseconds>(WeightsPatienceShare * dependencies.settings.weightsBound);
+    demand.maxOutdatedTime =
+        duration_cast<milliseconds>(MaxOutdatedShare * dependencies.settings.weightsBound);
     demand.slots = engine.slots;
     demand.memoryTokens = request.memoryTokens();
     demand.memoryCapacity = engine.cacheTokens;
@@ -69,27 +71,29 @@
     return demand;
 }
 
-std::optional<Refusal> refuseSlow(const AcceptedRequest &request, const EngineChoice &choice,
-                                  Core::Clock::Monotonic now)
+std::optional<Refusal> refuseIfTooSlow(const AcceptedRequest &request, const EngineChoice &choice,
+                                       Core::Clock::Monotonic now)
 {
     const auto &route = *request.route;
-    const auto most = isUrgent(route, request.tenant) ? PatienceInTargets : QueueInTargets;
-    const auto patience = std::min<EngineModel::Milliseconds>(
-        most * EngineModel::Milliseconds(route.target),
-        FirstTokenShare * EngineModel::Milliseconds(request.left(now)));
-    if (choice.expectedFirst <= patience)
+    const auto maxTargets =
+        isUrgent(route, request.tenant) ? MaxUrgentWaitTargets : MaxQueueWaitTargets;
+    const auto waitLimit = std::min<EngineModel::Milliseconds>(
+        maxTargets * EngineModel::Milliseconds(route.target),
+        FirstTokenShare * EngineModel::Milliseconds(request.remainingTime(now)));
+    if (choice.expectedFirst <= waitLimit)
         return std::nullopt;
-    const auto wait = choice.expectedFirst - route.target;
+    const auto retryAfter = choice.expectedFirst - route.target;
     const auto expected = static_cast<std::uint64_t>(choice.expectedFirst.count());
     return Refusal {Core::ErrorKind::Overloaded,
                     "first token expected in " + std::to_string(expected) + " ms",
-                    std::max<milliseconds>(LeastRetryAfter, duration_cast<milliseconds>(wait))};
+                    std::max<milliseconds>(MinRetryAfter, duration_cast<milliseconds>(retryAfter))};
 }
 
-/// Whether the prompt's parts are worth a place in the store that does not have them yet.
+/// Returns whether the prompt's parts should be saved to the store, which does not have all of them
+/// yet.
 bool isWorthSaving(const KvCacheStore &store, const AcceptedRequest &request, std::uint64_t weights)
 {
-    // The last part is the request's own; saving it takes room from what others share.
+    // The last part is specific to the request; saving it would displace parts that are shared.
     if (request.parts.size() < 2)
         return false;
     const std::span shared(request.parts.data(), request.parts.size() - 1);
@@ -108,7 +112,7 @@
     if (!chosen)
         return Refusal {Core::ErrorKind::NoUpstream, "no engine of " + service.name + " is free",
                         ShortRetryAfter};
-    if (auto refusal = refuseSlow(request, *chosen, limits.now))
+    if (auto refusal = refuseIfTooSlow(request, *chosen, limits.now))
         return std::move(*refusal);
     RequestPlan plan;
     plan.service = service.name;
@@ -133,7 +137,7 @@
     if (!engine || (!engine->source && !engine->isFromStore))
         return "none";
     const auto source = engine->isFromStore ? "store" : engine->source->report().id.value();
-    return (engine->isGuess ? "perhaps " : "") + source;
+    return (engine->isSpeculative ? "perhaps " : "") + source;
 }
 
 std::variant<RequestPlan, Refusal> planRequest(Gateway &gateway, const AcceptedRequest &request,
@@ -141,14 +145,14 @@
 {
     if (request.route->services.empty())
         return Refusal {Core::ErrorKind::NoUpstream, "the route has no service", {}};
-    const auto name = drawService(gateway, *request.route);
+    const auto name = pickService(gateway, *request.route);
     const auto *service = request.configuration->findService(name);
     if (!service)
         return Refusal {Core::ErrorKind::NoUpstream, "service " + name + " is not configured",
                         ShortRetryAfter};
     ChoiceLimits limits;
-    limits.maxInFlight =
-        std::max(2U, service->maxConnections / (gateway.instances().value_or(1) + SpareInstances));
+    limits.maxInFlight = std::max(2U, service->maxConnections
+                                          / (gateway.instanceCount().value_or(1) + SpareInstances));
     limits.excluded = excluded;
     limits.now = gateway.dependencies().clock.now();
     if (service->engine && !request.caller.model.empty())
--- a/Libraries/LibGateway/RequestRelay.cpp
+++ b/Libraries/LibGateway/RequestRelay.cpp
@@ -19,20 +19,21 @@
 namespace {
 
 constexpr auto ConnectTimeout = 500ms;
-// Bytes that an upstream leaves unacknowledged for this long were sent to one that is gone.
+// If sent data is not acknowledged for this long, the upstream is considered unreachable.
 constexpr auto UnacknowledgedTimeout = 1'500ms;
-// A request that could not be sent is offered to this many upstreams in all.
-constexpr unsigned MostSends = 6;
+// The maximum number of attempts for a request that no upstream has executed.
+constexpr unsigned MaxSends = 6;
 constexpr std::size_t AnswerLimitBytes = 64 * 1024 * 1024;
-// Callers honour a Retry-After of up to a third of the time that they have left.
+// Callers honour a Retry-After of at most a third of their remaining time.
 constexpr int RetryAfterShare = 3;
 constexpr auto ShortRetryAfter = 300ms;
-constexpr auto LeastRetryAfter = 100ms;
-// Entries of the list lapse after this many reports that did not come.
-constexpr int LapsedReports = 3;
+constexpr auto MinRetryAfter = 100ms;
+// The list entry of an upstream expires after this many missed reports.
+constexpr int MaxMissedReports = 3;
 constexpr auto BusyPause = 120ms;
-// Shorter times to the first token say little about an engine's speed.
-constexpr EngineModel::Milliseconds LeastJudgedTime {20};
+// If the expected time to the first token is shorter, the measured time says little about the speed
+// of the engine.
+constexpr EngineModel::Milliseconds MinSlownessSampleTime {20};
 
 std::string formatSeconds(milliseconds time)
 {
@@ -62,9 +63,9 @@
 
 asio::awaitable<void> RequestRelay::run()
 {
-    auto refusal = m_request.read(m_gateway.dependencies().dialect, m_exchange.request());
+    auto refusal = m_request.decode(m_gateway.dependencies().dialect, m_exchange.request());
     if (!refusal && m_gateway.isRefusing())
-        refusal = Refusal {Core::ErrorKind::Draining, "the instance ends", LeastRetryAfter};
+        refusal = Refusal {Core::ErrorKind::Draining, "the instance ends", MinRetryAfter};
     if (!refusal)
         refusal = m_request.authorize(m_gateway, m_exchange.request());
     if (refusal) {
@@ -73,14 +74,14 @@
     }
     m_timer = std::make_unique<asio::steady_timer>(co_await asio::this_coro::executor);
     startTimers();
-    co_await attempts();
+    co_await runAttempts();
 }
 
-std::optional<Refusal> RequestRelay::authorizeAgain()
+std::optional<Refusal> RequestRelay::reauthorize()
 {
     const auto before = m_request;
     auto denied = m_request.authorize(m_gateway, m_exchange.request());
-    // What becomes of the request is still told by the route that it was sent on.
+    // The outcome of the request is still reported under the route that it was sent on.
     if (denied)
         m_request = before;
     return denied;
@@ -91,33 +92,33 @@
     const auto guard = std::weak_ptr(m_isAlive);
     m_exchange.setCallerGoneHook([this, guard] {
         if (const auto alive = guard.lock(); alive && *alive)
-            endWith(EndReason::CallerGone);
+            cancel(CancelReason::CallerDisconnected);
     });
-    m_timer->expires_after(left());
+    m_timer->expires_after(remainingTime());
     m_timer->async_wait([this, guard](const auto &ec) {
         const auto alive = guard.lock();
         if (!ec && alive && *alive)
-            endWith(EndReason::TimeOver);
+            cancel(CancelReason::DeadlineExpired);
     });
 }
 
-void RequestRelay::endWith(EndReason reason)
+void RequestRelay::cancel(CancelReason reason)
 {
-    if (m_endReason != EndReason::None)
+    if (m_cancelReason != CancelReason::None)
         return;
-    m_endReason = reason;
+    m_cancelReason = reason;
     if (m_abort)
         m_abort->abort();
 }
 
-asio::awaitable<void> RequestRelay::attempts()
+asio::awaitable<void> RequestRelay::runAttempts()
 {
     bool isFirst = true;
     for (;;) {
         auto plan = planRequest(m_gateway, m_request, m_excluded);
         const auto *refusal = std::get_if<Refusal>(&plan);
-        if (refusal && (m_mayHaveRun || m_failure || m_exchange.hasStarted())) {
-            co_await finish(AttemptEnd::Broken);
+        if (refusal && (m_mayHaveExecuted || m_errorResponse || m_exchange.hasStarted())) {
+            co_await finish(AttemptEnd::Interrupted);
             co_return;
         }
         if (refusal) {
@@ -128,14 +129,15 @@
         if (isFirst)
             m_gateway.retries(m_plan->service).noteRequest(m_gateway.dependencies().clock.now());
         isFirst = false;
-        const auto end = co_await attempt();
-        if (end == AttemptEnd::Answered || !mayTryAgain(end)) {
+        const auto end = co_await runAttempt();
+        if (end == AttemptEnd::Answered || !mayRetry(end)) {
             co_await finish(end);
             co_return;
         }
-        // A queued or repeated request is judged by the configuration in force when it is sent.
-        const auto denied = authorizeAgain();
-        if (denied && !m_mayHaveRun) {
+        // A queued or repeated request is authorized again with the configuration that is in force
+        // when it is sent.
+        const auto denied = reauthorize();
+        if (denied && !m_mayHaveExecuted) {
             co_await refuse(*denied);
             co_return;
         }
@@ -148,73 +150,73 @@
 
 bool RequestRelay::mayStillSend()
 {
-    if (m_endReason != EndReason::None)
+    if (m_cancelReason != CancelReason::None)
         return false;
     const auto &dependencies = m_gateway.dependencies();
-    if (m_plan->upstream->isGone() || m_plan->upstream->report().isDraining
+    if (m_plan->upstream->isRemoved() || m_plan->upstream->report().isDraining
         || m_plan->upstream->pausedUntil() > dependencies.clock.now())
         return false;
     const auto &current = dependencies.configuration.current();
     if (current == m_request.configuration)
-        return m_request.route->isPublic || current->tenants.empty() || m_gateway.knowsKeys();
-    // Another version came in force since the choice; choose anew under it.
+        return m_request.route->isPublic || current->tenants.empty() || m_gateway.hasUpToDateKeys();
+    // The configuration changed after the upstream was chosen, so the choice is repeated.
     return false;
 }
 
-bool RequestRelay::mayTryAgain(AttemptEnd end)
+bool RequestRelay::mayRetry(AttemptEnd end)
 {
-    if (m_endReason != EndReason::None || left() <= 0ms)
+    if (m_cancelReason != CancelReason::None || remainingTime() <= 0ms)
         return false;
     const auto &dependencies = m_gateway.dependencies();
     const auto mayRepeat = [&] {
         return m_gateway.retries(m_plan->service)
-            .tryRepeat(dependencies.settings.retries, m_gateway.instances(),
+            .tryRepeat(dependencies.settings.retries, m_gateway.instanceCount(),
                        dependencies.clock.now());
     };
     switch (end) {
     case AttemptEnd::NotSent:
-        return m_progress.sends < MostSends;
-    case AttemptEnd::NotRun:
-        return m_progress.sends < MostSends && mayRepeat();
-    case AttemptEnd::Broken:
-    case AttemptEnd::FailedByUpstream:
-        return m_request.route->mayRunAgain() && m_runs < m_request.route->maxAttempts
+        return m_progress.sends < MaxSends;
+    case AttemptEnd::NotExecuted:
+        return m_progress.sends < MaxSends && mayRepeat();
+    case AttemptEnd::Interrupted:
+    case AttemptEnd::ServerError:
+        return m_request.route->mayRunAgain() && m_executions < m_request.route->maxAttempts
                && !m_gateway.poison().isPoison(m_request.digest, dependencies.clock.now())
                && mayRepeat();
-    case AttemptEnd::StreamBroken:
+    case AttemptEnd::StreamInterrupted:
         return m_request.route->mayRunAgain() && !m_events.lastId().empty()
-               && m_runs < m_request.route->maxAttempts && mayRepeat();
+               && m_executions < m_request.route->maxAttempts && mayRepeat();
     case AttemptEnd::Answered:
-    case AttemptEnd::Ended:
+    case AttemptEnd::Cancelled:
         return false;
     }
     return false;
 }
 
-asio::awaitable<RequestRelay::AttemptEnd> RequestRelay::attempt()
+asio::awaitable<RequestRelay::AttemptEnd> RequestRelay::runAttempt()
 {
     ++m_progress.sends;
     m_excluded.insert(m_plan->upstream->report().id);
-    const auto missed = m_plan->uncachedTokens(m_request);
+    const auto uncached = m_plan->uncachedTokens(m_request);
     if (m_plan->engine) {
         const auto total = totalTokens(m_request.parts);
         auto &metrics = m_gateway.metrics();
         metrics.promptTokens.add(total, m_request.labels());
-        metrics.cachedTokens.add(total - missed, m_request.labels());
+        metrics.cachedTokens.add(total - uncached, m_request.labels());
         metrics.expectedFirst.observe(
             duration_cast<std::chrono::nanoseconds>(m_plan->engine->expectedFirst),
             m_request.labels());
         const auto *service = m_request.configuration->findService(m_plan->service);
-        m_plan->upstream->memory().setCapacity(service->engine->cacheTokens);
+        m_plan->upstream->prefixCache().setCapacity(service->engine->cacheTokens);
     }
-    UpstreamLoad load(m_plan->upstream, missed, m_request.memoryTokens(),
+    UpstreamLoad load(m_plan->upstream, uncached, m_request.memoryTokens(),
                       isUrgent(*m_request.route, m_request.tenant),
                       m_gateway.dependencies().clock.now());
-    const auto end = co_await exchangeWith(load);
+    const auto end = co_await sendToUpstream(load);
     const auto now = m_gateway.dependencies().clock.now();
     if (end == AttemptEnd::Answered)
         m_plan->upstream->noteOutcome(true, now);
-    else if (end != AttemptEnd::Ended && end != AttemptEnd::NotRun)
+    else if (end != AttemptEnd::Cancelled && end != AttemptEnd::NotExecuted)
         m_plan->upstream->noteOutcome(false, now);
     co_return end;
 }
@@ -224,15 +226,16 @@
     const auto &request = m_exchange.request();
     Dispatch dispatch;
     dispatch.upstream = m_plan->upstream->report().id;
-    dispatch.left = left();
+    dispatch.remainingTime = remainingTime();
     dispatch.tenant = m_request.tenant ? m_request.tenant->name : "";
     dispatch.cacheScope = m_request.cacheScope();
     dispatch.urgency =
         urgencyLevel(*m_request.route, m_request.tenant,
                      m_plan->engine && m_plan->engine->expectedFirst > m_request.route->target);
     if (m_plan->engine) {
-        // Parts are only found under the scope's name, so that memory made by other weights is out
-        // of reach wherever it lies; the upstream refuses the request if it has other weights.
+        // Cached parts are looked up by scope, so including the version of the weights prevents the
+        // use of parts that other weights computed, wherever they are cached. The upstream refuses
+        // the request if its weights differ.
         const auto weights = m_plan->upstream->weights(m_request.caller.model);
         dispatch.weights = weights;
         dispatch.cacheScope += ".weights-" + text(weights);
@@ -241,7 +244,7 @@
             dispatch.fetchFrom = store->endpoint();
         if (store && m_plan->isSaving)
             dispatch.saveTo = store->endpoint();
-        if (m_plan->engine->source && !m_plan->engine->source->isGone()
+        if (m_plan->engine->source && !m_plan->engine->source->isRemoved()
             && m_plan->engine->source->weights(m_request.caller.model) == weights)
             dispatch.fetchFrom = m_plan->engine->source->report().endpoint;
     }
@@ -252,26 +255,27 @@
                          request.body);
 }
 
-asio::awaitable<RequestRelay::AttemptEnd> RequestRelay::exchangeWith(UpstreamLoad &load)
+asio::awaitable<RequestRelay::AttemptEnd> RequestRelay::sendToUpstream(UpstreamLoad &load)
 {
     m_abort = std::make_shared<Http::CallAbort>();
-    if (m_endReason != EndReason::None)
+    if (m_cancelReason != CancelReason::None)
         m_abort->abort();
     Http::SendOptions options;
-    // A kept connection that turns out closed leaves open whether the request ran.
+    // If a reused connection turns out to be closed, it is unknown whether the request was
+    // executed.
     options.mayRepeat = false;
     options.abort = m_abort;
     options.unacknowledged = UnacknowledgedTimeout;
-    m_isWithdrawn = false;
+    m_isPlanOutdated = false;
     options.maySend = [this] {
-        m_isWithdrawn = !mayStillSend();
-        return !m_isWithdrawn;
+        m_isPlanOutdated = !mayStillSend();
+        return !m_isPlanOutdated;
     };
-    // The deadline's timer ends the call; these only bound what it would forget.
+    // The deadline timer ends the call; these timeouts only guard against a call that it misses.
     Http::ClientTimeouts timeouts;
-    timeouts.connect = std::min<milliseconds>(ConnectTimeout, left());
-    timeouts.head = left() + 1s;
-    timeouts.body = left() + 1s;
+    timeouts.connect = std::min<milliseconds>(ConnectTimeout, remainingTime());
+    timeouts.head = remainingTime() + 1s;
+    timeouts.body = remainingTime() + 1s;
     std::unique_ptr<Http::ClientExchange> answer;
     std::optional<Core::Error> failure;
     try {
@@ -282,42 +286,43 @@
     }
     if (failure && failure->kind() == Core::ErrorKind::UpstreamUnreachable) {
         noteAttempt("not_sent", failure->detail());
-        if (!m_isWithdrawn && m_endReason == EndReason::None)
+        if (!m_isPlanOutdated && m_cancelReason == CancelReason::None)
             noteUnreachable();
-        co_return m_endReason == EndReason::None ? AttemptEnd::NotSent : AttemptEnd::Ended;
+        co_return m_cancelReason == CancelReason::None ? AttemptEnd::NotSent
+                                                       : AttemptEnd::Cancelled;
     }
-    // From here on bytes of the request may have reached the upstream.
-    const bool mayHaveRunBefore = std::exchange(m_mayHaveRun, true);
-    ++m_runs;
+    // The upstream may have received part of the request from this point on.
+    const bool mayHaveExecutedBefore = std::exchange(m_mayHaveExecuted, true);
+    ++m_executions;
     if (failure)
-        co_return noteBroken(*failure);
+        co_return noteInterrupted(*failure);
     const auto end = co_await relayAnswer(*answer, load);
-    if (end == AttemptEnd::NotRun) {
-        m_mayHaveRun = mayHaveRunBefore;
-        --m_runs;
+    if (end == AttemptEnd::NotExecuted) {
+        m_mayHaveExecuted = mayHaveExecutedBefore;
+        --m_executions;
     }
-    if (end != AttemptEnd::Answered && end != AttemptEnd::FailedByUpstream
-        && end != AttemptEnd::NotRun)
+    if (end != AttemptEnd::Answered && end != AttemptEnd::ServerError
+        && end != AttemptEnd::NotExecuted)
         answer->abort();
     co_return end;
 }
 
-RequestRelay::AttemptEnd RequestRelay::noteBroken(const Core::Error &error)
+RequestRelay::AttemptEnd RequestRelay::noteInterrupted(const Core::Error &error)
 {
-    if (m_endReason != EndReason::None)
-        return AttemptEnd::Ended;
+    if (m_cancelReason != CancelReason::None)
+        return AttemptEnd::Cancelled;
     m_hasTimedOut = error.kind() == Core::ErrorKind::UpstreamTimedOut;
     noteAttempt("broken", error.what());
-    // Bytes that nobody acknowledges were sent to an upstream that is gone.
+    // Unacknowledged data means that the upstream is unreachable.
     if (m_hasTimedOut)
         noteUnreachable();
     if (error.kind() == Core::ErrorKind::UpstreamFailed) {
         m_gateway.poison().noteUpstreamFailure(m_request.digest,
                                                m_gateway.dependencies().clock.now());
-        if (m_gateway.onBreak)
-            m_gateway.onBreak(m_request.digest);
+        if (m_gateway.onUpstreamFailure)
+            m_gateway.onUpstreamFailure(m_request.digest);
     }
-    return m_exchange.hasStarted() ? AttemptEnd::StreamBroken : AttemptEnd::Broken;
+    return m_exchange.hasStarted() ? AttemptEnd::StreamInterrupted : AttemptEnd::Interrupted;
 }
 
 asio::awaitable<RequestRelay::AttemptEnd> RequestRelay::relayAnswer(Http::ClientExchange &answer,
@@ -329,16 +334,16 @@
                        {{"upstream", m_plan->upstream->report().id.value()},
                         {"request", m_request.caller.attemptId},
                         {"answered", head.attemptId}});
-        co_return noteBroken(
+        co_return noteInterrupted(
             Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "another's answer"));
     }
     std::optional<Core::Error> failure;
     try {
         if (head.isOtherUpstream || head.isNotRun) {
             noteRefusedByUpstream(answer.status(), head);
-            // Taking the body in whole lets the connection serve on.
+            // The connection can be reused only after the whole body has been read.
             while (co_await answer.readSome()) { }
-            co_return AttemptEnd::NotRun;
+            co_return AttemptEnd::NotExecuted;
         }
         if (head.weights && *head.weights > m_plan->upstream->weights(m_request.caller.model)) {
             m_plan->upstream->noteWeights(m_request.caller.model, *head.weights);
@@ -348,14 +353,15 @@
         auto headers = Http::withoutConnectionFields(answer.headers());
         const bool isSuccess = answer.status() < 300;
         if (!head.isSealed)
-            co_return noteBroken(Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "no seal"));
+            co_return noteInterrupted(
+                Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "no seal"));
         if (isSuccess && m_request.route->kind == RequestKind::Stream)
             co_return co_await relayStream(answer, std::move(headers), load);
         co_return co_await relayWhole(answer, std::move(headers));
     } catch (const Core::Error &error) {
         failure = error;
     }
-    co_return noteBroken(*failure);
+    co_return noteInterrupted(*failure);
 }
 
 void RequestRelay::noteUnreachable()
@@ -374,41 +380,42 @@
                 std::to_string(status) + " from " + head.upstream.value() + ", believed weights "
                     + text(m_plan->upstream->weights(m_request.caller.model)));
     if (head.isOtherUpstream && head.upstream != m_plan->upstream->report().id) {
-        // Another life has the address; the entry of the one before has yet to lapse.
+        // Another incarnation uses the address; the list entry of the previous one has not expired
+        // yet.
         m_plan->upstream->pauseUntil(
-            now + LapsedReports * m_gateway.dependencies().settings.reportInterval);
-        if (m_gateway.onHold)
-            m_gateway.onHold(*m_plan->upstream,
-                             LapsedReports * m_gateway.dependencies().settings.reportInterval);
+            now + MaxMissedReports * m_gateway.dependencies().settings.reportInterval);
+        if (m_gateway.onPause)
+            m_gateway.onPause(*m_plan->upstream,
+                              MaxMissedReports * m_gateway.dependencies().settings.reportInterval);
         return;
     }
     if (!m_plan->engine)
         return;
-    // It is full or carries out an order, or took other weights than were known.
+    // The engine is full, executes an order, or has other weights than expected.
     m_plan->upstream->pauseUntil(std::max(m_plan->upstream->pausedUntil(), now + BusyPause));
-    if (head.isOtherUpstream && m_gateway.onOtherWeights)
-        m_gateway.onOtherWeights(m_plan->upstream);
+    if (head.isOtherUpstream && m_gateway.onWeightsMismatch)
+        m_gateway.onWeightsMismatch(m_plan->upstream);
 }
 
 asio::awaitable<RequestRelay::AttemptEnd> RequestRelay::relayWhole(Http::ClientExchange &answer,
                                                                    Http::Headers headers)
 {
     Http::Response response(answer.status(), std::move(headers), {});
-    while (auto piece = co_await answer.readSome()) {
-        response.body += *piece;
+    while (auto chunk = co_await answer.readSome()) {
+        response.body += *chunk;
         if (response.body.size() > AnswerLimitBytes)
-            co_return noteBroken(
+            co_return noteInterrupted(
                 Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "too large"));
     }
     if (response.status >= 500) {
         noteAttempt("failed", std::to_string(response.status));
-        m_failure = std::move(response);
-        co_return m_exchange.hasStarted() ? AttemptEnd::StreamBroken : AttemptEnd::FailedByUpstream;
+        m_errorResponse = std::move(response);
+        co_return m_exchange.hasStarted() ? AttemptEnd::StreamInterrupted : AttemptEnd::ServerError;
     }
     if (m_exchange.hasStarted())
-        co_return AttemptEnd::StreamBroken;
-    if (m_endReason == EndReason::CallerGone)
-        co_return AttemptEnd::Ended;
+        co_return AttemptEnd::StreamInterrupted;
+    if (m_cancelReason == CancelReason::CallerDisconnected)
+        co_return AttemptEnd::Cancelled;
     m_gateway.metrics().firstByte.observe(m_gateway.dependencies().clock.now() - m_request.arrival,
                                           m_request.labels());
     co_await m_exchange.respond(std::move(response));
@@ -419,25 +426,26 @@
 RequestRelay::relayStream(Http::ClientExchange &answer, Http::Headers headers, UpstreamLoad &load)
 {
     m_events.dropPartialEvent();
-    while (auto piece = co_await answer.readSome()) {
-        const auto events = m_events.feed(*piece);
+    while (auto chunk = co_await answer.readSome()) {
+        const auto events = m_events.feed(*chunk);
         if (events.empty())
             continue;
         if (load.noteFirstToken())
-            learnFirstToken(load);
+            noteFirstToken(load);
         if (!m_exchange.hasStarted())
             co_await m_exchange.startStream(answer.status(), headers);
         co_await m_exchange.write(events);
     }
     if (m_events.hasPartialEvent())
-        co_return noteBroken(Core::Error(Core::ErrorKind::UpstreamFailed, "ended amid an event"));
+        co_return noteInterrupted(
+            Core::Error(Core::ErrorKind::UpstreamFailed, "ended amid an event"));
     if (!m_exchange.hasStarted())
         co_await m_exchange.startStream(answer.status(), headers);
     co_await m_exchange.finishStream();
     co_return AttemptEnd::Answered;
 }
 
-void RequestRelay::learnFirstToken(const UpstreamLoad &load)
+void RequestRelay::noteFirstToken(const UpstreamLoad &load)
 {
     const auto now = m_gateway.dependencies().clock.now();
     if (!m_progress.firstByte) {
@@ -455,12 +463,13 @@
         if (m_gateway.onPartsStored)
             m_gateway.onPartsStored(*store, stored);
     }
-    const EngineModel::Milliseconds taken = now - load.sent();
-    if (load.isAlone())
-        m_gateway.engineModel(m_plan->service).learn(static_cast<unsigned>(load.tokens()), taken);
-    const auto usual = m_plan->engine->expectedFirst / m_plan->upstream->slowness();
-    if (usual >= LeastJudgedTime)
-        m_plan->upstream->noteSlowness(taken / usual);
+    const EngineModel::Milliseconds elapsed = now - load.sent();
+    if (load.isOnlyPrompt())
+        m_gateway.engineModel(m_plan->service)
+            .addSample(static_cast<unsigned>(load.tokens()), elapsed);
+    const auto expected = m_plan->engine->expectedFirst / m_plan->upstream->slowness();
+    if (expected >= MinSlownessSampleTime)
+        m_plan->upstream->noteSlowness(elapsed / expected);
 }
 
 asio::awaitable<void> RequestRelay::finish(AttemptEnd end)
@@ -470,7 +479,7 @@
         logServed(m_gateway, m_request, *m_plan, m_progress);
         co_return;
     }
-    if (m_endReason == EndReason::CallerGone) {
+    if (m_cancelReason == CancelReason::CallerDisconnected) {
         m_gateway.metrics().requests.add(1, m_request.labels(), "caller_gone");
         Core::logEvent(Core::EventId::CallerWentAway, {{"request", m_request.caller.attemptId}});
         throw boost::system::system_error(asio::error::operation_aborted);
@@ -483,27 +492,27 @@
                         {"upstream", m_plan->upstream->report().id.value()},
                         {"outcome", "stream cut"},
                         {"last_event", m_events.lastId()}});
-        // Closing the connection is the only way to say that the stream is not whole.
+        // Closing the connection is the only way to signal that the stream is incomplete.
         throw boost::system::system_error(asio::error::connection_aborted);
     }
-    if (m_failure) {
+    if (m_errorResponse) {
         m_gateway.metrics().requests.add(1, m_request.labels(), "failed_by_upstream");
-        co_await m_exchange.respond(std::move(*m_failure));
+        co_await m_exchange.respond(std::move(*m_errorResponse));
         co_return;
     }
-    if (!m_mayHaveRun) {
+    if (!m_mayHaveExecuted) {
         // A named object, because GCC 12 destroys aggregate temporaries of a co_await twice.
         Refusal refusal {Core::ErrorKind::NoUpstream, "no upstream took the request",
                          ShortRetryAfter};
-        if (m_endReason == EndReason::TimeOver)
+        if (m_cancelReason == CancelReason::DeadlineExpired)
             refusal = {Core::ErrorKind::DeadlineUnreachable, "time is over", std::nullopt};
         co_await refuse(refusal);
         co_return;
     }
-    const bool isTimeOver = m_endReason == EndReason::TimeOver || m_hasTimedOut;
+    const bool isTimeout = m_cancelReason == CancelReason::DeadlineExpired || m_hasTimedOut;
     const auto kind =
-        isTimeOver ? Core::ErrorKind::UpstreamTimedOut : Core::ErrorKind::UpstreamFailed;
-    m_gateway.metrics().requests.add(1, m_request.labels(), isTimeOver ? "timed_out" : "failed");
+        isTimeout ? Core::ErrorKind::UpstreamTimedOut : Core::ErrorKind::UpstreamFailed;
+    m_gateway.metrics().requests.add(1, m_request.labels(), isTimeout ? "timed_out" : "failed");
     Core::logEvent(Core::EventId::RequestFailed,
                    {{"request", m_request.caller.attemptId},
                     {"route", m_request.route->name},
@@ -527,14 +536,15 @@
                            std::optional<std::chrono::milliseconds> retryAfter)
 {
     auto response = Http::errorResponse(Core::Error(kind, reason));
-    // The request itself is proper; it is this service that will not take it any more.
+    // The request itself is valid, but this service does not accept it any more, hence a server
+    // error.
     if (kind == Core::ErrorKind::PoisonRequest)
         response.status = 503;
     response.headers.remove("Retry-After");
     if (retryAfter) {
         auto wait = *retryAfter;
         if (m_request.deadline != Core::Clock::Monotonic::max())
-            wait = std::clamp<milliseconds>(wait, 0ms, left() / RetryAfterShare);
+            wait = std::clamp<milliseconds>(wait, 0ms, remainingTime() / RetryAfterShare);
         response.headers.add("Retry-After", formatSeconds(wait));
     }
     co_await m_exchange.respond(std::move(response));
@@ -545,9 +555,9 @@
     logAttempt(m_gateway, m_request, *m_plan, m_progress, end, reason);
 }
 
-milliseconds RequestRelay::left() const
+milliseconds RequestRelay::remainingTime() const
 {
-    return m_request.left(m_gateway.dependencies().clock.now());
+    return m_request.remainingTime(m_gateway.dependencies().clock.now());
 }
 
 } // namespace Gateway
--- a/Libraries/LibGateway/RequestRelay.h
+++ b/Libraries/LibGateway/RequestRelay.h
@@ -18,8 +18,8 @@
 
 namespace Gateway {
 
-/// Carries one request of a caller: sends it to the upstreams that are planned for it, decides what
-/// may be tried again, and brings the answer back. Lives as long as the request.
+/// Handles one request of a caller: sends it to the planned upstreams, decides whether to retry,
+/// and relays the answer. Its lifetime is that of the request.
 class RequestRelay
 {
 public:
@@ -31,76 +31,78 @@
     boost::asio::awaitable<void> run();
 
 private:
-    /// How one attempt ended.
+    /// The outcome of one attempt.
     enum class AttemptEnd {
-        /// The caller has the whole answer.
+        /// The complete answer was relayed to the caller.
         Answered,
-        /// The upstream failed the request by its own answer, which is kept.
-        FailedByUpstream,
-        /// Nothing was sent.
+        /// The upstream answered with a server error, which is stored in m_errorResponse.
+        ServerError,
+        /// No data was sent.
         NotSent,
-        /// The upstream states that it did not run the request.
-        NotRun,
-        /// Broken before any part of the answer reached the caller.
-        Broken,
-        /// Broken after events reached the caller.
-        StreamBroken,
-        /// Nobody waits any more: the caller left or its time is over.
-        Ended,
+        /// The upstream states that it did not execute the request.
+        NotExecuted,
+        /// The upstream failed before any part of the answer was relayed.
+        Interrupted,
+        /// The upstream failed after part of the answer was relayed.
+        StreamInterrupted,
+        /// The caller disconnected or the deadline expired.
+        Cancelled,
     };
-    enum class EndReason {
+    enum class CancelReason {
         None,
-        CallerGone,
-        TimeOver,
+        CallerDisconnected,
+        DeadlineExpired,
     };
-    /// Judges the request anew before another attempt; keeps its route when that is denied.
-    std::optional<Refusal> authorizeAgain();
+    /// Authorizes the request again before another attempt. If that is denied, the previous route
+    /// and tenant stay set.
+    std::optional<Refusal> reauthorize();
     void startTimers();
-    void endWith(EndReason reason);
-    boost::asio::awaitable<void> attempts();
+    void cancel(CancelReason reason);
+    boost::asio::awaitable<void> runAttempts();
     bool mayStillSend();
-    bool mayTryAgain(AttemptEnd end);
-    boost::asio::awaitable<AttemptEnd> attempt();
-    boost::asio::awaitable<AttemptEnd> exchangeWith(UpstreamLoad &load);
+    bool mayRetry(AttemptEnd end);
+    boost::asio::awaitable<AttemptEnd> runAttempt();
+    boost::asio::awaitable<AttemptEnd> sendToUpstream(UpstreamLoad &load);
     boost::asio::awaitable<AttemptEnd> relayAnswer(Http::ClientExchange &answer,
                                                    UpstreamLoad &load);
     boost::asio::awaitable<AttemptEnd> relayWhole(Http::ClientExchange &answer,
                                                   Http::Headers headers);
     boost::asio::awaitable<AttemptEnd> relayStream(Http::ClientExchange &answer,
                                                    Http::Headers headers, UpstreamLoad &load);
-    void learnFirstToken(const UpstreamLoad &load);
-    AttemptEnd noteBroken(const Core::Error &error);
+    void noteFirstToken(const UpstreamLoad &load);
+    AttemptEnd noteInterrupted(const Core::Error &error);
     Http::Request upstreamRequest() const;
     boost::asio::awaitable<void> finish(AttemptEnd end);
     boost::asio::awaitable<void> refuse(const Refusal &refusal);
     boost::asio::awaitable<void> respondError(Core::ErrorKind kind, const std::string &reason,
                                               std::optional<std::chrono::milliseconds> retryAfter);
-    /// Keeps new requests from an upstream that does not answer at its address.
+    /// Pauses an upstream that could not be reached, and reports it to siblings.
     void noteUnreachable();
     void noteRefusedByUpstream(unsigned status, const AnswerHead &head);
     void noteAttempt(std::string_view end, const std::string &reason) const;
-    std::chrono::milliseconds left() const;
+    std::chrono::milliseconds remainingTime() const;
 
     Gateway &m_gateway;
     Http::ServerExchange &m_exchange;
     AcceptedRequest m_request;
-    /// Where the last attempt went or goes; none before the first.
+    /// The plan of the current or last attempt; empty before the first.
     std::optional<RequestPlan> m_plan;
     std::set<Core::UpstreamId> m_excluded;
-    /// Upstreams that may have run the request.
-    unsigned m_runs = 0;
+    /// Number of attempts that an upstream may have executed.
+    unsigned m_executions = 0;
     RequestProgress m_progress;
-    bool m_mayHaveRun = false;
-    std::optional<Http::Response> m_failure;
+    bool m_mayHaveExecuted = false;
+    std::optional<Http::Response> m_errorResponse;
     Http::EventSplitter m_events;
     bool m_hasTimedOut = false;
-    /// Whether the last attempt was given up before its first byte, as the choice was outdated.
-    bool m_isWithdrawn = false;
-    EndReason m_endReason = EndReason::None;
+    /// Whether the last attempt was cancelled before its first byte was sent because the plan was
+    /// outdated.
+    bool m_isPlanOutdated = false;
+    CancelReason m_cancelReason = CancelReason::None;
 
     std::shared_ptr<Http::CallAbort> m_abort;
     std::unique_ptr<boost::asio::steady_timer> m_timer;
-    /// Tells callbacks that outlive the relay that it is gone.
+    /// False once the relay is destroyed, for callbacks that outlive it.
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/Libraries/LibGateway/RetryBudgetShare.h
+++ b/Libraries/LibGateway/RetryBudgetShare.h
@@ -8,41 +8,41 @@
 
 namespace Gateway {
 
-/// What all instances together may send again to one service.
+/// The limit on retries that all instances together may send to one service.
 struct RetryBudgetLimits
 {
-    /// Repeats for each request of the window.
+    /// Retries per request within the window.
     double ratio = 0.1;
-    /// Repeats of the window that are allowed besides, over all instances.
+    /// Additional retries within the window, for all instances together.
     double slack = 10;
     std::chrono::seconds window {10};
 };
 
-/// One instance's share of a service's repeats in a sliding window. Every instance takes the ratio
-/// of its own requests and an equal part of the slack, so that no exchange is needed to keep the
-/// bound while instances are cut off.
+/// The share of a service's retry budget that one instance may use in a sliding window. Each
+/// instance uses the ratio of its own requests and an equal part of the slack, so the limit holds
+/// without communication, even while instances are partitioned.
 class RetryBudgetShare
 {
 public:
-    /// A request of a caller came for the service.
+    /// Records a caller's request for the service.
     void noteRequest(Core::Clock::Monotonic now);
-    /// Takes one repeat. False when this instance's share is used up. While the number of instances
-    /// is not known, an instance has no part of the slack.
-    bool tryRepeat(const RetryBudgetLimits &bounds, std::optional<unsigned> instances,
+    /// Consumes one retry. Returns false if this instance's share is used up. The share contains no
+    /// slack while the number of instances is unknown.
+    bool tryRepeat(const RetryBudgetLimits &limits, std::optional<unsigned> instances,
                    Core::Clock::Monotonic now);
 
 private:
-    struct Second
+    struct SecondCounts
     {
         std::int64_t number = -1;
         unsigned requests = 0;
         unsigned repeats = 0;
     };
-    static constexpr std::size_t KeptSeconds = 64;
+    static constexpr std::size_t TrackedSeconds = 64;
 
-    Second &second(Core::Clock::Monotonic now);
+    SecondCounts &countsAt(Core::Clock::Monotonic now);
 
-    std::array<Second, KeptSeconds> m_seconds;
+    std::array<SecondCounts, TrackedSeconds> m_seconds;
 };
 
 } // namespace Gateway
--- a/Libraries/LibGateway/UpstreamChooser.cpp
+++ b/Libraries/LibGateway/UpstreamChooser.cpp
@@ -9,26 +9,28 @@
 
 using Milliseconds = EngineModel::Milliseconds;
 
-// What a wholly failing upstream costs in the comparison.
+// The cost of an upstream whose attempts all fail.
 constexpr Milliseconds FailureCost {1'500};
-// An engine with all slots taken makes a request wait for a run to end.
+// The cost of each request beyond an engine's slots, since it has to wait for a running request to
+// finish.
 constexpr Milliseconds FullSlotCost {40};
-// A request on weights older than the named ones loses a part of its worth after a while.
-constexpr Milliseconds OldWeightsCost {300};
-constexpr std::chrono::milliseconds OldWeightsGrace {1'000};
-// What the tokens that an engine has to read cost the others that wait for it.
-constexpr double SharedCost = 1.0;
-// The preferred engine is taken to keep this share of a session's parts, as others may have sent
-// them.
-constexpr double HomeCredit = 0.5;
+// The cost of weights that have been outdated for longer than the grace time, since an answer
+// computed with them is worth less.
+constexpr Milliseconds OutdatedWeightsCost {300};
+constexpr std::chrono::milliseconds OutdatedWeightsGrace {1'000};
+// The weight of the delay that a prompt's prefill causes for other requests at the engine.
+constexpr double PrefillDelayWeight = 1.0;
+// The share of a session's parts that is assumed to be cached at the preferred engine, since other
+// instances may have sent them there.
+constexpr double AffinityCredit = 0.5;
 constexpr double FailureWeight = 20;
-// A fetch costs a call to the source; fewer tokens are read sooner.
-constexpr unsigned LeastFetchTokens = 128;
-constexpr double MostSourceFailures = 0.3;
-// Runs of long answers end, and free their memory, within about this time.
+// A fetch costs a call to the source; computing fewer tokens than this is faster.
+constexpr unsigned MinFetchTokens = 128;
+constexpr double MaxSourceFailureShare = 0.3;
+// Long-running requests finish and free their memory within about this time.
 constexpr Milliseconds MemoryTurnover {3'000};
 
-/// Whether the upstream's weights have been outdated for longer than the given time.
+/// Returns whether the upstream's weights have been outdated for longer than the given time.
 bool isOutdated(const Upstream &upstream, const EngineDemand &demand,
                 std::chrono::milliseconds time, Core::Clock::Monotonic now)
 {
@@ -38,7 +40,7 @@
     return since && now - *since > time;
 }
 
-/// The member that rendezvous hashing gives a session; null when there is none.
+/// Returns the candidate that rendezvous hashing assigns to the session; null if there are none.
 std::shared_ptr<Upstream> preferredUpstreamOf(const UpstreamFleet::Members &candidates,
                                               std::uint64_t key)
 {
@@ -54,90 +56,92 @@
     return preferred;
 }
 
-/// The engine that keeps the most of the prompt among those with the same weights.
-struct Holder
+/// The engine with the most cached tokens of the prompt among those with the same weights.
+struct BestCache
 {
     std::shared_ptr<Upstream> engine;
     unsigned tokens = 0;
 };
 
-/// The best holder for each version of the weights.
-std::map<std::uint64_t, Holder> findHolders(const UpstreamFleet::Members &members,
-                                            const EngineDemand &demand, const ChoiceLimits &limits)
+/// Returns the best holder for each version of the weights.
+std::map<std::uint64_t, BestCache> findBestCaches(const UpstreamFleet::Members &members,
+                                                  const EngineDemand &demand,
+                                                  const ChoiceLimits &limits)
 {
-    std::map<std::uint64_t, Holder> holders;
+    std::map<std::uint64_t, BestCache> bestCaches;
     for (const auto &member : members) {
-        // A source that fails costs a fetch some hundred milliseconds.
-        if (member->isGone() || member->failureShare(limits.now) > MostSourceFailures)
+        // A fetch from a failing source takes several hundred milliseconds.
+        if (member->isRemoved() || member->failureShare(limits.now) > MaxSourceFailureShare)
             continue;
-        auto &holder = holders[member->weights(demand.model)];
-        const auto tokens = member->memory().cachedTokens(demand.parts);
-        const bool isBetter = tokens > holder.tokens
-                              || (tokens == holder.tokens && holder.engine && tokens > 0
-                                  && member->inFlight() < holder.engine->inFlight());
+        auto &bestCache = bestCaches[member->weights(demand.model)];
+        const auto tokens = member->prefixCache().cachedTokens(demand.parts);
+        const bool isBetter = tokens > bestCache.tokens
+                              || (tokens == bestCache.tokens && bestCache.engine && tokens > 0
+                                  && member->inFlight() < bestCache.engine->inFlight());
         if (isBetter)
-            holder = {member, tokens};
+            bestCache = {member, tokens};
     }
-    return holders;
+    return bestCaches;
 }
 
-/// How long a request waits for runs to end until it finds room in the engine's memory.
+/// Estimates the time until enough running requests have finished to free the memory that the
+/// request needs.
 Milliseconds memoryWait(const Upstream &engine, const EngineDemand &demand)
 {
-    const auto wanted = engine.allMemoryTokens() + demand.memoryTokens;
-    if (demand.memoryCapacity == 0 || wanted <= demand.memoryCapacity)
+    const auto needed = engine.allMemoryTokens() + demand.memoryTokens;
+    if (demand.memoryCapacity == 0 || needed <= demand.memoryCapacity)
         return Milliseconds(0);
-    const auto excess = static_cast<double>(wanted - demand.memoryCapacity);
+    const auto excess = static_cast<double>(needed - demand.memoryCapacity);
     return MemoryTurnover * (excess / static_cast<double>(demand.memoryCapacity));
 }
 
-EngineChoice expectedAt(const std::shared_ptr<Upstream> &engine, const EngineModel &model,
-                        const EngineDemand &demand, const Holder &holder)
+EngineChoice estimateChoice(const std::shared_ptr<Upstream> &engine, const EngineModel &model,
+                            const EngineDemand &demand, const BestCache &bestCache)
 {
     EngineChoice choice;
     choice.upstream = engine;
     choice.cachedTokens =
-        std::min(engine->memory().cachedTokens(demand.parts), demand.promptTokens);
+        std::min(engine->prefixCache().cachedTokens(demand.parts), demand.promptTokens);
     choice.readyTokens = choice.cachedTokens;
     Milliseconds fetch {0};
-    // Engines forget what the store still holds, so the store goes first where both have it.
+    // Engines evict parts that the store still has, so the store is preferred if both have them.
     const auto stored =
         demand.store ? demand.store->storedTokens(demand.parts, engine->weights(demand.model)) : 0;
-    const bool isFromStore = stored > 0 && stored >= holder.tokens;
-    const auto most = std::min(std::max(stored, holder.tokens), demand.promptTokens);
-    const bool hasSource = isFromStore || (holder.engine && holder.engine != engine);
+    const bool isFromStore = stored > 0 && stored >= bestCache.tokens;
+    const auto available = std::min(std::max(stored, bestCache.tokens), demand.promptTokens);
+    const bool hasSource = isFromStore || (bestCache.engine && bestCache.engine != engine);
     if (demand.fetchTokensPerMillisecond > 0 && hasSource
-        && most > choice.cachedTokens + LeastFetchTokens) {
+        && available > choice.cachedTokens + MinFetchTokens) {
         choice.isFromStore = isFromStore;
-        choice.source = isFromStore ? nullptr : holder.engine;
-        choice.readyTokens = most;
-        fetch = Milliseconds((most - choice.cachedTokens) / demand.fetchTokensPerMillisecond);
+        choice.source = isFromStore ? nullptr : bestCache.engine;
+        choice.readyTokens = available;
+        fetch = Milliseconds((available - choice.cachedTokens) / demand.fetchTokensPerMillisecond);
     }
     const auto tokens =
-        engine->tokensBefore(demand.isUrgent) + demand.promptTokens - choice.readyTokens;
+        engine->tokensAhead(demand.isUrgent) + demand.promptTokens - choice.readyTokens;
     choice.expectedFirst =
         engine->slowness() * model.firstToken(tokens) + fetch + memoryWait(*engine, demand);
     return choice;
 }
 
-/// Names a source that may keep the session's parts where none is known to. The expected time does
-/// not count on it.
-void guessSource(EngineChoice &choice, const EngineDemand &demand, const ChoiceLimits &limits,
-                 const std::shared_ptr<Upstream> &preferred)
+/// Sets a speculative source if no source of the session's parts is known. The expected time does
+/// not depend on it.
+void setSpeculativeSource(EngineChoice &choice, const EngineDemand &demand,
+                          const ChoiceLimits &limits, const std::shared_ptr<Upstream> &preferred)
 {
     const bool isKnown = choice.source || choice.isFromStore;
     if (isKnown || demand.fetchTokensPerMillisecond <= 0
-        || demand.sharedTokens <= choice.cachedTokens + LeastFetchTokens)
+        || demand.sharedTokens <= choice.cachedTokens + MinFetchTokens)
         return;
     const bool isRemote =
         preferred && preferred != choice.upstream
         && preferred->weights(demand.model) == choice.upstream->weights(demand.model)
-        && preferred->failureShare(limits.now) <= MostSourceFailures;
+        && preferred->failureShare(limits.now) <= MaxSourceFailureShare;
     if (isRemote)
         choice.source = preferred;
     else if (demand.store && demand.sharedTokens >= KvCacheStore::LeastTokens)
         choice.isFromStore = true;
-    choice.isGuess = choice.source || choice.isFromStore;
+    choice.isSpeculative = choice.source || choice.isFromStore;
 }
 
 Milliseconds cost(const EngineChoice &choice, const EngineModel &model, const EngineDemand &demand,
@@ -146,24 +150,24 @@
     const auto &upstream = *choice.upstream;
     const double rate = model.tokensPerMillisecond();
     auto sum = choice.expectedFirst
-               + SharedCost * upstream.slowness()
+               + PrefillDelayWeight * upstream.slowness()
                      * Milliseconds((demand.promptTokens - choice.readyTokens) / rate);
     sum += upstream.failureShare(limits.now) * FailureCost;
     const auto running = upstream.allInFlight();
     if (running >= demand.slots)
         sum += (running - demand.slots + 1.0) * FullSlotCost;
-    if (isOutdated(upstream, demand, OldWeightsGrace, limits.now))
-        sum += OldWeightsCost;
+    if (isOutdated(upstream, demand, OutdatedWeightsGrace, limits.now))
+        sum += OutdatedWeightsCost;
     if (isPreferred && choice.readyTokens < demand.sharedTokens)
-        sum -= HomeCredit * Milliseconds((demand.sharedTokens - choice.readyTokens) / rate);
+        sum -= AffinityCredit * Milliseconds((demand.sharedTokens - choice.readyTokens) / rate);
     return sum;
 }
 
 } // namespace
 
-bool takesRequests(const Upstream &upstream, const ChoiceLimits &limits)
+bool mayReceiveRequests(const Upstream &upstream, const ChoiceLimits &limits)
 {
-    return !upstream.isGone() && !upstream.report().isDraining
+    return !upstream.isRemoved() && !upstream.report().isDraining
            && upstream.pausedUntil() <= limits.now && upstream.inFlight() < limits.maxInFlight
            && !limits.excluded.contains(upstream.report().id);
 }
@@ -174,17 +178,17 @@
 {
     UpstreamFleet::Members candidates;
     for (const auto &member : members) {
-        if (takesRequests(*member, limits)
-            && !isOutdated(*member, demand, demand.weightsPatience, limits.now))
+        if (mayReceiveRequests(*member, limits)
+            && !isOutdated(*member, demand, demand.maxOutdatedTime, limits.now))
             candidates.push_back(member);
     }
     const auto preferred = preferredUpstreamOf(candidates, demand.affinityKey);
-    auto holders = findHolders(members, demand, limits);
+    auto bestCaches = findBestCaches(members, demand, limits);
     std::optional<EngineChoice> best;
     Milliseconds bestCost {0};
     for (const auto &candidate : candidates) {
-        const auto &holder = holders[candidate->weights(demand.model)];
-        auto choice = expectedAt(candidate, model, demand, holder);
+        const auto &bestCache = bestCaches[candidate->weights(demand.model)];
+        auto choice = estimateChoice(candidate, model, demand, bestCache);
         const auto sum = cost(choice, model, demand, limits, candidate == preferred);
         if (!best || sum < bestCost) {
             best = std::move(choice);
@@ -192,7 +196,7 @@
         }
     }
     if (best)
-        guessSource(*best, demand, limits, preferred);
+        setSpeculativeSource(*best, demand, limits, preferred);
     return best;
 }
 
@@ -201,7 +205,7 @@
 {
     std::vector<std::shared_ptr<Upstream>> candidates;
     for (const auto &member : members) {
-        if (takesRequests(*member, limits))
+        if (mayReceiveRequests(*member, limits))
             candidates.push_back(member);
     }
     if (candidates.empty())
--- a/Libraries/LibGateway/UpstreamLoad.h
+++ b/Libraries/LibGateway/UpstreamLoad.h
@@ -6,7 +6,7 @@
 
 namespace Gateway {
 
-/// Keeps an upstream's counts of one request that is sent to it, until the request ends there.
+/// Counts one request in the load of an upstream, from construction to destruction.
 class UpstreamLoad
 {
 public:
@@ -16,22 +16,22 @@
         , m_tokens(tokens)
         , m_memoryTokens(memoryTokens)
         , m_isUrgent(isUrgent)
-        , m_isAlone(m_upstream->tokensBefore(false) == 0)
+        , m_isOnlyPrompt(m_upstream->tokensAhead(false) == 0)
         , m_sent(now)
     {
         m_upstream->noteSent(m_tokens, m_isUrgent);
-        m_upstream->takeMemory(m_memoryTokens);
+        m_upstream->reserveMemory(m_memoryTokens);
     }
     ~UpstreamLoad()
     {
         noteFirstToken();
-        m_upstream->freeMemory(m_memoryTokens);
+        m_upstream->releaseMemory(m_memoryTokens);
         m_upstream->noteEnd();
     }
     UpstreamLoad(const UpstreamLoad &) = delete;
     UpstreamLoad &operator=(const UpstreamLoad &) = delete;
 
-    /// Returns whether this was the first token.
+    /// Records that the upstream has prefilled the prompt. Returns whether this was the first call.
     bool noteFirstToken()
     {
         if (m_hasFirstToken)
@@ -41,8 +41,8 @@
         return true;
     }
     std::uint64_t tokens() const { return m_tokens; }
-    /// Whether the upstream had no other prompt to read when this one was sent.
-    bool isAlone() const { return m_isAlone; }
+    /// Whether no other prompts were queued for prefill when this request was sent.
+    bool isOnlyPrompt() const { return m_isOnlyPrompt; }
     Core::Clock::Monotonic sent() const { return m_sent; }
 
 private:
@@ -50,7 +50,7 @@
     std::uint64_t m_tokens;
     std::uint64_t m_memoryTokens;
     bool m_isUrgent;
-    bool m_isAlone;
+    bool m_isOnlyPrompt;
     bool m_hasFirstToken = false;
     Core::Clock::Monotonic m_sent;
 };
--- a/Libraries/LibGateway/WeightRoller.cpp
+++ b/Libraries/LibGateway/WeightsRollout.cpp
@@ -1,6 +1,6 @@
 #include <LibCore/EventLog.h>
 #include <LibGateway/FleetWatcher.h>
-#include <LibGateway/WeightRoller.h>
+#include <LibGateway/WeightsRollout.h>
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -15,31 +15,34 @@
 
 namespace {
 
-constexpr auto IdlePause = 30ms;
-constexpr auto StatePause = 60ms;
-// A lease is renewed while this much of it is left, and no order goes out in its last part.
+constexpr auto IdleInterval = 30ms;
+constexpr auto StateInterval = 60ms;
+// The lease is renewed when less than RenewMargin is left. No orders are sent in its last
+// OrderMargin.
 constexpr auto RenewMargin = 700ms;
 constexpr auto OrderMargin = 300ms;
-// Instances try for a free lease one after the other, so that most calls are not in vain.
-constexpr auto TurnStep = 60ms;
-// An engine that carries out an order refuses requests; what was sent before the order goes first.
-constexpr auto HoldTime = 2'500ms;
-// What siblings sent before they heard of the pause gets time to begin at the engine.
-constexpr std::chrono::milliseconds LeastHoldNotice = 20ms;
-constexpr std::chrono::milliseconds MostHoldNotice = 300ms;
-constexpr auto MostOrderTime = 3'000ms;
-constexpr auto ConflictPause = 250ms;
-constexpr auto FailurePause = 1'000ms;
-// The part of the engines that take weights at the same time. More would leave too few to serve.
-constexpr std::size_t RollingPart = 2;
+// Instances try to acquire a free lease in turn, at this interval, to avoid conflicts.
+constexpr auto TurnInterval = 60ms;
+// An engine refuses requests while it executes an order, so it is paused, and the requests sent
+// before the order are started first.
+constexpr auto PauseTime = 2'500ms;
+// Time for requests that siblings sent before they received the pause to start at the engine.
+constexpr std::chrono::milliseconds MinPauseNotice = 20ms;
+constexpr std::chrono::milliseconds MaxPauseNotice = 300ms;
+constexpr auto MaxOrderTime = 3'000ms;
+constexpr auto ConflictBackOff = 250ms;
+constexpr auto FailureBackOff = 1'000ms;
+// At most the total divided by this loads weights at a time. More would leave too few engines to
+// serve requests.
+constexpr std::size_t RollingDivisor = 2;
 
 } // namespace
 
-WeightRoller::WeightRoller(Dependencies dependencies)
+WeightsRollout::WeightsRollout(Dependencies dependencies)
     : m_dependencies(std::move(dependencies))
 { }
 
-std::vector<WeightRoller::Task> WeightRoller::tasks() const
+std::vector<WeightsRollout::Task> WeightsRollout::tasks() const
 {
     std::vector<Task> result;
     const auto now = m_dependencies.clock.now();
@@ -56,7 +59,8 @@
                      m_dependencies.targets.outdatedSince(model, known).value_or(now)});
         }
     }
-    // The longest outdated first; of those, engines with little to finish are ready soonest.
+    // Engines with the longest outdated weights come first; among them, those with the fewest
+    // requests in flight are ready soonest.
     std::sort(result.begin(), result.end(), [](const Task &left, const Task &right) {
         const auto work = [](const Task &task) { return task.engine->allInFlight(); };
         return std::pair(left.since, work(left)) < std::pair(right.since, work(right));
@@ -64,23 +68,24 @@
     return result;
 }
 
-asio::awaitable<void> WeightRoller::run()
+asio::awaitable<void> WeightsRollout::run()
 {
     for (;;) {
-        co_await sleepFor(IdlePause);
-        auto open = tasks();
-        if (open.empty() && m_running == 0)
+        co_await sleepFor(IdleInterval);
+        auto pending = tasks();
+        if (pending.empty() && m_running == 0)
             continue;
-        const auto named = open.empty() ? m_dependencies.clock.now() : open.front().since;
-        const bool isHolder = co_await ensureLease(named);
+        const auto targetSince =
+            pending.empty() ? m_dependencies.clock.now() : pending.front().since;
+        const bool isHolder = co_await ensureLease(targetSince);
         if (!isHolder)
             continue;
         std::size_t engines = 0;
         for (const auto &[id, engine] : m_dependencies.fleet.all())
             engines += engine->report().weights.empty() ? 0 : 1;
-        const auto most = std::max<std::size_t>(1, engines / RollingPart);
-        for (auto &task : open) {
-            if (m_running >= most)
+        const auto maxRunning = std::max<std::size_t>(1, engines / RollingDivisor);
+        for (auto &task : pending) {
+            if (m_running >= maxRunning)
                 break;
             ++m_running;
             m_isRolling[task.engine->report().id] = true;
@@ -90,30 +95,30 @@
     }
 }
 
-bool WeightRoller::isTurn(Core::Clock::Monotonic named) const
+bool WeightsRollout::isTurn(Core::Clock::Monotonic targetSince) const
 {
-    // Members that do not answer would only make the others wait for their turn.
+    // Members that do not respond would only delay the others' turns.
     const auto before = m_dependencies.members.reachableBefore("orders");
-    return m_dependencies.clock.now() >= named + before * TurnStep;
+    return m_dependencies.clock.now() >= targetSince + before * TurnInterval;
 }
 
-asio::awaitable<bool> WeightRoller::ensureLease(Core::Clock::Monotonic named)
+asio::awaitable<bool> WeightsRollout::ensureLease(Core::Clock::Monotonic targetSince)
 {
     const auto now = m_dependencies.clock.now();
     const auto &lease = m_dependencies.journal.lease();
     if (lease.token(now, RenewMargin))
         co_return true;
     const bool isOwn = lease.lastHolder() == m_dependencies.self;
-    if (!lease.mayTake(now) || (!isOwn && !isTurn(named)))
+    if (!lease.mayTake(now) || (!isOwn && !isTurn(targetSince)))
         co_return false;
     co_return co_await m_dependencies.journal.takeLease();
 }
 
-asio::awaitable<void> WeightRoller::roll(Task task)
+asio::awaitable<void> WeightsRollout::roll(Task task)
 {
     std::string failure;
     try {
-        const bool isOrdered = co_await giveOrder(task);
+        const bool isOrdered = co_await sendOrder(task);
         if (isOrdered)
             co_await awaitWeights(task);
     } catch (const Core::Error &error) {
@@ -124,36 +129,36 @@
         Core::logEvent(Core::EventId::OrderUnanswered,
                        {{"upstream", id.value()}, {"reason", failure}});
         m_dependencies.metrics.orders.add(1, {}, "unanswered");
-        backOff(task, FailurePause);
+        backOff(task, FailureBackOff);
     }
     task.engine->pauseUntil(Core::Clock::Monotonic::min());
-    if (onHold)
-        onHold(*task.engine, 0ms);
+    if (onPause)
+        onPause(*task.engine, 0ms);
     m_isRolling.erase(id);
     --m_running;
 }
 
-asio::awaitable<EngineState> WeightRoller::stateOf(Upstream &engine)
+asio::awaitable<EngineState> WeightsRollout::stateOf(Upstream &engine)
 {
     auto state = co_await m_dependencies.engines.state(engine.report());
     noteWeights(engine, state);
     co_return state;
 }
 
-void WeightRoller::noteWeights(Upstream &engine, const EngineState &state) const
+void WeightsRollout::noteWeights(Upstream &engine, const EngineState &state) const
 {
     for (const auto &[model, version] : state.weights) {
         const auto before = engine.weights(model);
         engine.noteWeights(model, version);
-        if (version > before && onWeights)
-            onWeights(engine, model, version);
+        if (version > before && onWeightsSeen)
+            onWeightsSeen(engine, model, version);
     }
 }
 
-asio::awaitable<void> WeightRoller::refresh(std::shared_ptr<Upstream> engine)
+asio::awaitable<void> WeightsRollout::refresh(std::shared_ptr<Upstream> engine)
 {
     const auto id = engine->report().id;
-    if (!m_isAsked.try_emplace(id, true).second)
+    if (!m_isRefreshing.try_emplace(id, true).second)
         co_return;
     try {
         co_await stateOf(*engine);
@@ -161,24 +166,25 @@
         Core::logEvent(Core::EventId::OrderUnanswered,
                        {{"upstream", id.value()}, {"reason", error.what()}});
     }
-    m_isAsked.erase(id);
+    m_isRefreshing.erase(id);
 }
 
-asio::awaitable<bool> WeightRoller::giveOrder(const Task &task)
+asio::awaitable<bool> WeightsRollout::sendOrder(const Task &task)
 {
     const auto &id = task.engine->report().id;
     const auto state = co_await stateOf(*task.engine);
     if (task.engine->weights(task.model) >= task.version)
         co_return false;
     if (state.isBusy) {
-        backOff(task, ConflictPause);
+        backOff(task, ConflictBackOff);
         co_return false;
     }
-    task.engine->pauseUntil(m_dependencies.clock.now() + HoldTime);
-    if (onHold)
-        onHold(*task.engine, HoldTime);
-    // An order ends the wait of what has not begun; those requests would have to go elsewhere.
-    co_await sleepFor(timeToBegin(*task.engine));
+    task.engine->pauseUntil(m_dependencies.clock.now() + PauseTime);
+    if (onPause)
+        onPause(*task.engine, PauseTime);
+    // An engine drops its queued requests when it receives an order, and they would have to be
+    // retried at other engines.
+    co_await sleepFor(timeUntilStarted(*task.engine));
     const auto token =
         m_dependencies.journal.lease().token(m_dependencies.clock.now(), OrderMargin);
     if (!token)
@@ -188,7 +194,7 @@
     order.version = task.version;
     order.holder = m_dependencies.self.value();
     order.fencingToken = *token;
-    order.expectedOrders = std::max(state.ordersAccepted, m_accepted[id]);
+    order.expectedOrders = std::max(state.ordersAccepted, m_acceptedOrders[id]);
     const auto outcome = co_await m_dependencies.engines.order(task.engine->report(), order);
     Core::logEvent(Core::EventId::OrderSent,
                    {{"upstream", id.value()},
@@ -198,52 +204,54 @@
                     {"outcome", std::to_string(static_cast<int>(outcome))}});
     if (outcome == OrderOutcome::Accepted) {
         m_dependencies.metrics.orders.add(1, {}, "accepted");
-        m_accepted[id] = order.expectedOrders + 1;
+        m_acceptedOrders[id] = order.expectedOrders + 1;
         co_return true;
     }
     m_dependencies.metrics.orders.add(1, {}, "refused");
-    // Another life of the engine counts anew, and its own word is as good as ours then.
-    m_accepted.erase(id);
-    if (outcome == OrderOutcome::AlreadyHolds) {
-        EngineState holds;
-        holds.weights[task.model] = task.version;
-        noteWeights(*task.engine, holds);
+    // The engine may have restarted and count from zero again, so the next order relies on its own
+    // count.
+    m_acceptedOrders.erase(id);
+    if (outcome == OrderOutcome::AlreadyInForce) {
+        EngineState loaded;
+        loaded.weights[task.model] = task.version;
+        noteWeights(*task.engine, loaded);
     }
-    backOff(task, ConflictPause);
+    backOff(task, ConflictBackOff);
     co_return false;
 }
 
-std::chrono::milliseconds WeightRoller::timeToBegin(const Upstream &engine) const
+std::chrono::milliseconds WeightsRollout::timeUntilStarted(const Upstream &engine) const
 {
-    const auto tokens = engine.tokensBefore(false);
-    const auto reading = m_dependencies.expectedFirst ? m_dependencies.expectedFirst(engine, tokens)
-                                                      : EngineModel::Milliseconds(0);
-    return std::clamp(std::chrono::ceil<std::chrono::milliseconds>(reading), LeastHoldNotice,
-                      MostHoldNotice);
+    const auto tokens = engine.tokensAhead(false);
+    const auto prefillTime = m_dependencies.expectedFirst
+                                 ? m_dependencies.expectedFirst(engine, tokens)
+                                 : EngineModel::Milliseconds(0);
+    return std::clamp(std::chrono::ceil<std::chrono::milliseconds>(prefillTime), MinPauseNotice,
+                      MaxPauseNotice);
 }
 
-asio::awaitable<void> WeightRoller::awaitWeights(const Task &task)
+asio::awaitable<void> WeightsRollout::awaitWeights(const Task &task)
 {
-    const auto begin = m_dependencies.clock.now();
-    while (m_dependencies.clock.now() - begin < MostOrderTime) {
-        co_await sleepFor(StatePause);
-        if (task.engine->isGone())
+    const auto start = m_dependencies.clock.now();
+    while (m_dependencies.clock.now() - start < MaxOrderTime) {
+        co_await sleepFor(StateInterval);
+        if (task.engine->isRemoved())
             co_return;
         co_await stateOf(*task.engine);
         if (task.engine->weights(task.model) < task.version)
             continue;
-        const auto taken = std::chrono::duration_cast<std::chrono::milliseconds>(
-            m_dependencies.clock.now() - begin);
+        const auto elapsed = std::chrono::duration_cast<std::chrono::milliseconds>(
+            m_dependencies.clock.now() - start);
         Core::logEvent(Core::EventId::WeightsInPlace,
                        {{"upstream", task.engine->report().id.value()},
                         {"version", std::to_string(task.version)},
-                        {"took_ms", std::to_string(taken.count())}});
+                        {"took_ms", std::to_string(elapsed.count())}});
         co_return;
     }
-    backOff(task, ConflictPause);
+    backOff(task, ConflictBackOff);
 }
 
-void WeightRoller::backOff(const Task &task, std::chrono::milliseconds time)
+void WeightsRollout::backOff(const Task &task, std::chrono::milliseconds time)
 {
     m_notBefore[task.engine->report().id] = m_dependencies.clock.now() + time;
 }
--- a/Libraries/LibGateway/WeightsTargets.cpp
+++ b/Libraries/LibGateway/WeightsTargets.cpp
@@ -6,19 +6,19 @@
 
 namespace {
 
-// Older ones are outdated for so long that nothing runs on them any more.
-constexpr std::size_t KeptTargets = 64;
+// Older targets are dropped; no engine runs weights that old.
+constexpr std::size_t MaxTargets = 64;
 
 } // namespace
 
-bool WeightsTargets::name(const std::string &model, std::uint64_t version,
-                          Core::Clock::Monotonic now)
+bool WeightsTargets::addTarget(const std::string &model, std::uint64_t version,
+                               Core::Clock::Monotonic now)
 {
     auto &targets = m_targets[model];
     if (!targets.empty() && version <= targets.back().version)
         return false;
     targets.push_back({version, now});
-    if (targets.size() > KeptTargets)
+    if (targets.size() > MaxTargets)
         targets.erase(targets.begin());
     return true;
 }
@@ -41,7 +41,7 @@
                                     [version](const Target &t) { return t.version > version; });
     if (newer == it->second.end())
         return std::nullopt;
-    return newer->learnt;
+    return newer->learnedAt;
 }
 
 } // namespace Gateway
--- a/Tests/LibGateway/TestConfiguration.cpp
+++ b/Tests/LibGateway/TestConfiguration.cpp
@@ -79,7 +79,7 @@
     clock.advance(3s);
     state.confirm(asked);
     CHECK(state.age(clock.now()) == 3s);
-    // An answer that comes late to an older question makes nothing younger.
+    // A late confirmation of an older read does not reduce the age.
     state.confirm(asked - 1s);
     CHECK(state.age(clock.now()) == 3s);
 }
@@ -89,11 +89,11 @@
     Core::ManualClock clock;
     Gateway::WeightsTargets targets;
     CHECK_FALSE(targets.outdatedSince("m", 1).has_value());
-    targets.name("m", 2, clock.now());
+    targets.addTarget("m", 2, clock.now());
     const auto second = clock.now();
     clock.advance(3s);
-    targets.name("m", 3, clock.now());
-    CHECK_FALSE(targets.name("m", 2, clock.now()));
+    targets.addTarget("m", 3, clock.now());
+    CHECK_FALSE(targets.addTarget("m", 2, clock.now()));
     CHECK(targets.outdatedSince("m", 1) == second);
     CHECK(targets.outdatedSince("m", 2) == clock.now());
     CHECK_FALSE(targets.outdatedSince("m", 3).has_value());
