--- a/Libraries/LibAdmission/Controller.cpp
+++ b/Libraries/LibAdmission/Controller.cpp
@@ -9,7 +9,7 @@
 /// Shares that add up to the whole may miss 1 by rounding.
 constexpr double ShareTolerance = 1e-9;
 
-std::optional<Core::Error> faultOf(const Policy &policy)
+std::optional<Core::Error> findPolicyError(const Policy &policy)
 {
     for (const auto &group : policy.groups) {
         double owned = 0;
@@ -50,8 +50,8 @@
 
 Core::Result<void> Controller::configure(const Policy &policy)
 {
-    if (auto fault = faultOf(policy))
-        return std::move(*fault);
+    if (auto error = findPolicyError(policy))
+        return std::move(*error);
     std::scoped_lock lock(m_configureMutex);
     m_limits.configure(policy.limits);
     auto table = std::make_shared<GroupTable>(*m_table.share());
@@ -68,7 +68,7 @@
         const auto index = static_cast<std::uint32_t>(table->groups.size());
         table->indexes.emplace(group.id, index);
         table->groups.push_back(std::make_shared<GroupAdmission>(index, group));
-        table->groups.back()->setPosition(m_index, m_count, m_clock.now());
+        table->groups.back()->setPosition(m_siblingIndex, m_siblingCount, m_clock.now());
     }
     m_table.replace(std::move(table));
     for (auto &it : actions)
@@ -93,11 +93,11 @@
     std::vector<GroupActions> actions;
     {
         std::scoped_lock lock(m_configureMutex);
-        m_index = static_cast<std::uint32_t>(self - sorted.begin());
-        m_count = static_cast<std::uint32_t>(sorted.size());
-        m_limits.setPosition(m_index, m_count);
+        m_siblingIndex = static_cast<std::uint32_t>(self - sorted.begin());
+        m_siblingCount = static_cast<std::uint32_t>(sorted.size());
+        m_limits.setPosition(m_siblingIndex, m_siblingCount);
         for (const auto &group : allGroups())
-            actions.push_back(group->setPosition(m_index, m_count, m_clock.now()));
+            actions.push_back(group->setPosition(m_siblingIndex, m_siblingCount, m_clock.now()));
     }
     for (auto &it : actions)
         deliver(std::move(it));
@@ -157,18 +157,18 @@
 {
     const auto now = m_clock.now();
     SiblingReport report {.from = m_identity.instance, .incarnation = m_identity.incarnation};
-    std::uint64_t answers = 0;
+    std::uint64_t answeredSequence = 0;
     {
         std::scoped_lock lock(m_siblingMutex);
         auto &it = m_siblings[sibling];
         report.sequence = ++it.lastSent;
         report.receiverIncarnation = it.incarnation;
-        it.sent[report.sequence % RememberedReports] = {report.sequence, now};
-        answers = it.lastReceived;
+        it.sent[report.sequence % MaxTrackedReports] = {report.sequence, now};
+        answeredSequence = it.lastReceived;
     }
     for (const auto &it : allGroups())
-        report.groups.push_back(it->report(sibling, answers, now));
-    report.limits = m_limits.report(sibling, answers, now);
+        report.groups.push_back(it->report(sibling, answeredSequence, now));
+    report.limits = m_limits.report(sibling, answeredSequence, now);
     return report;
 }
 
@@ -179,7 +179,7 @@
     if (!sibling)
         return;
     // Leases and acknowledgements for an earlier life of this instance mean nothing to this one.
-    const bool isForThisLife = report.receiverIncarnation == m_identity.incarnation;
+    const bool isForThisIncarnation = report.receiverIncarnation == m_identity.incarnation;
     const auto sent = [&](const ShareReport &share) {
         return share.lease ? sentTime(*sibling, share.lease->answers) : Core::Clock::Monotonic();
     };
@@ -188,12 +188,12 @@
         const auto index = table->indexes.find(it.group);
         if (index == table->indexes.end())
             continue;
-        if (!isForThisLife)
+        if (!isForThisIncarnation)
             it.slots = {};
         deliver(table->groups[index->second]->applyReport(report.from, it, sent(it.slots), now));
     }
     for (auto it : report.limits) {
-        if (!isForThisLife)
+        if (!isForThisIncarnation)
             it.rate = it.concurrency = {};
         const auto &leased = it.rate.lease ? it.rate : it.concurrency;
         m_limits.applyReport(report.from, it, sent(leased), now);
@@ -222,7 +222,7 @@
 
 void Controller::deliver(GroupActions actions)
 {
-    for (const auto &team : actions.left)
+    for (const auto &team : actions.endedRequestTeams)
         m_limits.leave(team);
     for (auto &it : actions.decisions)
         it.hook(std::move(it.result));
@@ -244,7 +244,7 @@
     if (report.from == m_identity.instance)
         return std::nullopt;
     bool hasRestarted = false;
-    std::optional<Sibling> noted;
+    std::optional<Sibling> updated;
     {
         std::scoped_lock lock(m_siblingMutex);
         auto &it = m_siblings[report.from];
@@ -256,16 +256,16 @@
         hasRestarted = report.incarnation > it.incarnation && it.incarnation != 0;
         it.incarnation = report.incarnation;
         it.lastReceived = report.sequence;
-        noted = it;
+        updated = it;
     }
     if (hasRestarted)
         forgetSibling(report.from);
-    return noted;
+    return updated;
 }
 
 Core::Clock::Monotonic Controller::sentTime(const Sibling &sibling, std::uint64_t sequence)
 {
-    const auto &sent = sibling.sent[sequence % RememberedReports];
+    const auto &sent = sibling.sent[sequence % MaxTrackedReports];
     return sent.sequence == sequence ? sent.time : Core::Clock::Monotonic::min();
 }
 
--- a/Libraries/LibAdmission/Controller.h
+++ b/Libraries/LibAdmission/Controller.h
@@ -74,7 +74,7 @@
         std::vector<std::shared_ptr<GroupAdmission>> groups;
     };
     /// Reports to a sibling of which the sending time is known.
-    static constexpr std::size_t RememberedReports = 64;
+    static constexpr std::size_t MaxTrackedReports = 64;
     struct SentReport
     {
         std::uint64_t sequence = 0;
@@ -85,7 +85,7 @@
         std::uint64_t incarnation = 0;
         std::uint64_t lastReceived = 0;
         std::uint64_t lastSent = 0;
-        std::array<SentReport, RememberedReports> sent;
+        std::array<SentReport, MaxTrackedReports> sent;
     };
     Controller(const Core::Clock &clock, Identity identity, PreemptionHook preempt);
 
@@ -104,8 +104,8 @@
     TeamLimits m_limits;
     std::atomic<std::uint64_t> m_lastTicket {0};
     std::mutex m_configureMutex;
-    std::uint32_t m_index = 0;
-    std::uint32_t m_count = 1;
+    std::uint32_t m_siblingIndex = 0;
+    std::uint32_t m_siblingCount = 1;
     std::mutex m_siblingMutex;
     std::unordered_map<Core::InstanceId, Sibling> m_siblings;
 };
--- a/Libraries/LibAdmission/DelayEstimate.cpp
+++ b/Libraries/LibAdmission/DelayEstimate.cpp
@@ -7,29 +7,29 @@
 
 namespace {
 constexpr double Gain = 0.05;
-constexpr double Kept = 0.95;
-constexpr double SpreadsOfMargin = 2;
+constexpr double DecayFactor = 0.95;
+constexpr double MarginSpreads = 2;
 } // namespace
 
-void DelayEstimate::note(std::chrono::duration<double> delay)
+void DelayEstimate::addSample(std::chrono::duration<double> delay)
 {
     const auto difference = delay - m_mean;
     m_mean += Gain * difference;
     m_spread += Gain * (std::chrono::abs(difference) - m_spread);
-    m_isFresh = true;
+    m_hasNewSample = true;
 }
 
-void DelayEstimate::fade()
+void DelayEstimate::decay()
 {
-    if (std::exchange(m_isFresh, false))
+    if (std::exchange(m_hasNewSample, false))
         return;
-    m_mean *= Kept;
-    m_spread *= Kept;
+    m_mean *= DecayFactor;
+    m_spread *= DecayFactor;
 }
 
 std::chrono::microseconds DelayEstimate::withMargin() const
 {
-    const auto delay = std::max(m_mean + SpreadsOfMargin * m_spread, m_mean * 0);
+    const auto delay = std::max(m_mean + MarginSpreads * m_spread, m_mean * 0);
     return std::chrono::duration_cast<std::chrono::microseconds>(delay);
 }
 
--- a/Libraries/LibAdmission/DelayEstimate.h
+++ b/Libraries/LibAdmission/DelayEstimate.h
@@ -9,17 +9,17 @@
 {
 public:
     /// One first token came this much after it was expected; negative when it came before.
-    void note(std::chrono::duration<double> delay);
+    void addSample(std::chrono::duration<double> delay);
     /// Lets the estimate fade unless something was noted since the last call, so that work which
     /// is refused altogether is tried again. Call at a steady pace.
-    void fade();
+    void decay();
     /// The mean and a margin for the spread; never negative.
     std::chrono::microseconds withMargin() const;
 
 private:
     std::chrono::duration<double> m_mean {0};
     std::chrono::duration<double> m_spread {0};
-    bool m_isFresh = false;
+    bool m_hasNewSample = false;
 };
 
 } // namespace Admission
--- a/Libraries/LibAdmission/FairShare.cpp
+++ b/Libraries/LibAdmission/FairShare.cpp
@@ -16,8 +16,8 @@
     Allocation(const GroupPolicy &policy, std::span<const std::vector<TeamDemand>> demandByInstance)
         : m_policy(policy)
         , m_demand(policy.classes.size() * policy.teams.size(), 0)
-        , m_given(m_demand.size(), 0)
-        , m_left(policy.slots)
+        , m_allocated(m_demand.size(), 0)
+        , m_remaining(policy.slots)
     {
         for (std::size_t n = 0; n < policy.teams.size(); ++n)
             m_teams[policy.teams[n].id] = n;
@@ -42,63 +42,65 @@
         return m_demand.size();
     }
 
-    void giveFloors()
+    void allocateFloors()
     {
         for (std::size_t n = 0; n < m_policy.classes.size(); ++n)
-            give(n, std::min(m_left, m_policy.classes[n].floorShare * m_policy.slots), true);
+            allocate(n, std::min(m_remaining, m_policy.classes[n].floorShare * m_policy.slots),
+                     true);
     }
 
-    void giveOwned()
+    void allocateOwned()
     {
         for (std::size_t n = 0; n < m_policy.classes.size(); ++n)
-            give(n, m_left, false);
+            allocate(n, m_remaining, false);
     }
 
-    void giveBorrowed()
+    void allocateBorrowed()
     {
         for (std::size_t n = 0; n < m_policy.classes.size(); ++n)
-            give(n, m_left, true);
+            allocate(n, m_remaining, true);
     }
 
     /// Slots given at one position.
-    double given(std::size_t cell) const { return m_given[cell]; }
-    std::size_t cells() const { return m_given.size(); }
+    double allocated(std::size_t cell) const { return m_allocated[cell]; }
+    std::size_t cellCount() const { return m_allocated.size(); }
 
-    double left() const { return m_left; }
+    double remaining() const { return m_remaining; }
 
 private:
-    void give(std::size_t classIndex, double capacity, bool beyondOwned)
+    void allocate(std::size_t classIndex, double capacity, bool beyondOwned)
     {
         const auto teams = m_policy.teams.size();
         std::vector<Claimant> claimants(teams);
         for (std::size_t n = 0; n < teams; ++n) {
             const auto cell = classIndex * teams + n;
-            const double open = m_demand[cell] - m_given[cell];
-            const bool capped = !beyondOwned || !m_policy.teams[n].mayBorrow;
-            const double room = std::max(0.0, ownedLeft(n));
-            claimants[n] = {capped ? std::min(open, room) : open, m_policy.teams[n].weight};
+            const double unmetDemand = m_demand[cell] - m_allocated[cell];
+            const bool isCapped = !beyondOwned || !m_policy.teams[n].mayBorrow;
+            const double remainingOwnedSlots = std::max(0.0, remainingOwned(n));
+            claimants[n] = {isCapped ? std::min(unmetDemand, remainingOwnedSlots) : unmetDemand,
+                            m_policy.teams[n].weight};
         }
         const auto shares = weightedMaxMin(capacity, claimants);
         for (std::size_t n = 0; n < teams; ++n) {
-            m_given[classIndex * teams + n] += shares[n];
-            m_left -= shares[n];
+            m_allocated[classIndex * teams + n] += shares[n];
+            m_remaining -= shares[n];
         }
-        m_left = std::max(0.0, m_left);
+        m_remaining = std::max(0.0, m_remaining);
     }
 
-    double ownedLeft(std::size_t team) const
+    double remainingOwned(std::size_t team) const
     {
         double used = 0;
         for (std::size_t n = 0; n < m_policy.classes.size(); ++n)
-            used += m_given[n * m_policy.teams.size() + team];
+            used += m_allocated[n * m_policy.teams.size() + team];
         return m_policy.teams[team].ownedShare * m_policy.slots - used;
     }
 
     const GroupPolicy &m_policy;
     std::unordered_map<Core::TeamId, std::size_t> m_teams;
     std::vector<double> m_demand;
-    std::vector<double> m_given;
-    double m_left;
+    std::vector<double> m_allocated;
+    double m_remaining;
 };
 
 } // namespace
@@ -113,16 +115,16 @@
     };
     std::sort(order.begin(), order.end(),
               [&](std::size_t a, std::size_t b) { return saturation(a) < saturation(b); });
-    double weights = 0;
+    double remainingWeight = 0;
     for (const auto &it : claimants)
-        weights += std::max(0.0, it.weight);
+        remainingWeight += std::max(0.0, it.weight);
     for (const auto n : order) {
         const double weight = std::max(0.0, claimants[n].weight);
         if (weight <= 0)
             continue;
-        shares[n] = std::min(claimants[n].demand, capacity * weight / weights);
+        shares[n] = std::min(claimants[n].demand, capacity * weight / remainingWeight);
         capacity = std::max(0.0, capacity - shares[n]);
-        weights -= weight;
+        remainingWeight -= weight;
     }
     return shares;
 }
@@ -131,36 +133,38 @@
                         std::span<const std::vector<TeamDemand>> demandByInstance)
 {
     Allocation allocation(policy, demandByInstance);
-    allocation.giveFloors();
-    allocation.giveOwned();
-    allocation.giveBorrowed();
+    allocation.allocateFloors();
+    allocation.allocateOwned();
+    allocation.allocateBorrowed();
     const auto instances = demandByInstance.size();
     const auto teams = policy.teams.size();
     // What each instance asks for of each class and team.
-    std::vector<std::vector<Claimant>> claims(allocation.cells(), std::vector<Claimant>(instances));
+    std::vector<std::vector<Claimant>> claimantsByCell(allocation.cellCount(),
+                                                       std::vector<Claimant>(instances));
     for (std::size_t n = 0; n < instances; ++n) {
         for (const auto &demand : demandByInstance[n]) {
-            if (const auto cell = allocation.cellOf(demand); cell < claims.size())
-                claims[cell][n].demand += demand.slots;
+            if (const auto cell = allocation.cellOf(demand); cell < claimantsByCell.size())
+                claimantsByCell[cell][n].demand += demand.slots;
         }
     }
-    const double even = allocation.left() / static_cast<double>(instances);
-    FairTargets targets {std::vector<double>(instances, even),
+    const double evenSlots = allocation.remaining() / static_cast<double>(instances);
+    FairTargets targets {std::vector<double>(instances, evenSlots),
                          std::vector<std::optional<double>>(teams)};
-    std::vector<double> first(teams, 0);
-    std::vector<double> all(teams, 0);
-    for (std::size_t cell = 0; cell < claims.size(); ++cell) {
+    std::vector<double> firstInstanceSlots(teams, 0);
+    std::vector<double> totalSlots(teams, 0);
+    for (std::size_t cell = 0; cell < claimantsByCell.size(); ++cell) {
         // Equal weights: in proportion to the demand, an instance that holds more slots would run
         // more, ask for more and draw ever more of them.
-        const auto parts = weightedMaxMin(allocation.given(cell), claims[cell]);
+        const auto instanceSlots =
+            weightedMaxMin(allocation.allocated(cell), claimantsByCell[cell]);
         for (std::size_t n = 0; n < instances; ++n)
-            targets.slots[n] += parts[n];
-        first[cell % teams] += parts[0];
-        all[cell % teams] += allocation.given(cell);
+            targets.slots[n] += instanceSlots[n];
+        firstInstanceSlots[cell % teams] += instanceSlots[0];
+        totalSlots[cell % teams] += allocation.allocated(cell);
     }
     for (std::size_t team = 0; team < teams; ++team) {
-        if (all[team] > 0)
-            targets.firstInstancePart[team] = first[team] / all[team];
+        if (totalSlots[team] > 0)
+            targets.firstInstanceFraction[team] = firstInstanceSlots[team] / totalSlots[team];
     }
     return targets;
 }
--- a/Libraries/LibAdmission/FairShare.h
+++ b/Libraries/LibAdmission/FairShare.h
@@ -35,7 +35,7 @@
     std::vector<double> slots;
     /// Of the slots that each team should get, the part at the first instance, by team position;
     /// empty for a team without demand.
-    std::vector<std::optional<double>> firstInstancePart;
+    std::vector<std::optional<double>> firstInstanceFraction;
 };
 
 /// Divides a group's slots for the demand that all instances see, by the rules that admit requests:
--- a/Libraries/LibAdmission/GroupAdmission.cpp
+++ b/Libraries/LibAdmission/GroupAdmission.cpp
@@ -8,19 +8,19 @@
 namespace {
 
 /// Demands of one group that a report carries, the largest first.
-constexpr std::size_t MostReportedDemands = 64;
+constexpr std::size_t MaxReportedDemands = 64;
 /// Part of a demand that is kept from one tick to the next after it has gone.
 constexpr double DemandDecay = 0.7;
 /// Part of a team's own capacity that is spread evenly over the instances, wherever its demand was
 /// seen, so that a burst at another instance finds some.
-constexpr double EvenPart = 0.25;
+constexpr double EvenLocalityFraction = 0.25;
 /// The largest part of the share that is kept free of borrowed work.
-constexpr double BorrowerReserve = 0.1;
+constexpr double MaxOwnerReserve = 0.1;
 /// The largest part of the share that is kept free for more urgent classes.
-constexpr double ClassReserve = 0.05;
-constexpr double LeastDemand = 0.5;
+constexpr double MaxClassReserve = 0.05;
+constexpr double MinDemand = 0.5;
 /// A sibling's demand is forgotten when nothing was heard of it for this long.
-constexpr std::chrono::milliseconds SiblingSilence = LeaseDuration;
+constexpr std::chrono::milliseconds SiblingTimeout = LeaseDuration;
 
 } // namespace
 
@@ -72,7 +72,7 @@
 {
     std::scoped_lock lock(m_mutex);
     GroupActions actions;
-    if (auto refusal = refusalAtDoor(ticket, now)) {
+    if (auto refusal = earlyRejection(ticket, now)) {
         refuse(actions, {number, std::move(ticket), std::move(hook), now}, std::move(*refusal));
         return actions;
     }
@@ -89,7 +89,7 @@
     auto team = m_scheduler->finish(number, usedTokens, now);
     if (!team)
         return actions;
-    actions.left.push_back(std::move(*team));
+    actions.endedRequestTeams.push_back(std::move(*team));
     dispatch(actions, now);
     return actions;
 }
@@ -113,21 +113,21 @@
 {
     std::scoped_lock lock(m_mutex);
     GroupActions actions;
-    m_scheduler->fadeDelays();
+    m_scheduler->decayDelays();
     updateOwnDemand();
     updatePlan(now);
     dispatch(actions, now);
     return actions;
 }
 
-GroupReport GroupAdmission::report(const Core::InstanceId &sibling, std::uint64_t answers,
+GroupReport GroupAdmission::report(const Core::InstanceId &sibling, std::uint64_t answeredSequence,
                                    Core::Clock::Monotonic now)
 {
     std::scoped_lock lock(m_mutex);
     GroupReport report {.group = m_policy.id, .demands = m_ownDemand};
-    const auto planned = m_plan.find(sibling);
-    const auto amount = planned == m_plan.end() ? 0 : planned->second;
-    report.slots.lease = m_share.lend(sibling, amount, answers, now);
+    const auto planned = m_lendingPlan.find(sibling);
+    const auto amount = planned == m_lendingPlan.end() ? 0 : planned->second;
+    report.slots.lease = m_share.lend(sibling, amount, answeredSequence, now);
     report.slots.acknowledged = m_share.acknowledge(sibling, m_scheduler->running(), now);
     return report;
 }
@@ -162,8 +162,8 @@
             .waiting = m_scheduler->waiting()};
 }
 
-std::optional<Core::Error> GroupAdmission::refusalAtDoor(const Ticket &ticket,
-                                                         Core::Clock::Monotonic now) const
+std::optional<Core::Error> GroupAdmission::earlyRejection(const Ticket &ticket,
+                                                          Core::Clock::Monotonic now) const
 {
     const auto team = m_scheduler->teamIndex(ticket.team);
     const auto cls = m_scheduler->classIndex(ticket.priorityClass);
@@ -172,7 +172,7 @@
     const auto &policy = m_policy.teams[*team];
     if (policy.ownedShare <= 0 && !policy.mayBorrow)
         return Core::Error(Core::ErrorKind::Forbidden, "the team owns nothing and may not borrow");
-    if (!ticket.resumed && !m_scheduler->hasRoom(*cls, *team))
+    if (!ticket.resumed && !m_scheduler->hasQueueRoom(*cls, *team))
         return Core::Error(Core::ErrorKind::Overloaded, "the queue is full");
     const auto ready = now + m_scheduler->expectedWait(*cls, *team)
                        + m_scheduler->expectedFirstToken(*cls, *team, ticket);
@@ -184,7 +184,7 @@
 void GroupAdmission::refuse(GroupActions &actions, WaitingRequest request, Core::Error error)
 {
     actions.decisions.push_back({std::move(request.hook), std::move(error)});
-    actions.left.push_back(std::move(request.ticket.team));
+    actions.endedRequestTeams.push_back(std::move(request.ticket.team));
 }
 
 void GroupAdmission::replaceScheduler(GroupActions &actions)
@@ -200,9 +200,9 @@
 
 void GroupAdmission::dispatch(GroupActions &actions, Core::Clock::Monotonic now)
 {
-    while (auto late = m_scheduler->takeUnreachable(now)) {
+    while (auto unreachable = m_scheduler->takeUnreachable(now)) {
         Core::Error refusal(Core::ErrorKind::DeadlineUnreachable, "the target can not be met");
-        refuse(actions, std::move(*late), std::move(refusal));
+        refuse(actions, std::move(*unreachable), std::move(refusal));
     }
     const auto share = m_share.available(now);
     while (auto scheduled = m_scheduler->next(share, now)) {
@@ -228,40 +228,40 @@
         }
     }
     for (const auto &old : m_ownDemand) {
-        const double kept = old.slots * DemandDecay;
+        const double decayedSlots = old.slots * DemandDecay;
         const auto it = std::find_if(demands.begin(), demands.end(), [&](const auto &demand) {
             return demand.team == old.team && demand.priorityClass == old.priorityClass;
         });
         if (it != demands.end())
-            it->slots = std::max(it->slots, kept);
-        else if (kept >= LeastDemand)
-            demands.push_back({old.team, old.priorityClass, kept});
+            it->slots = std::max(it->slots, decayedSlots);
+        else if (decayedSlots >= MinDemand)
+            demands.push_back({old.team, old.priorityClass, decayedSlots});
     }
     std::sort(demands.begin(), demands.end(),
               [](const auto &a, const auto &b) { return a.slots > b.slots; });
-    if (demands.size() > MostReportedDemands)
-        demands.resize(MostReportedDemands);
+    if (demands.size() > MaxReportedDemands)
+        demands.resize(MaxReportedDemands);
     m_ownDemand = std::move(demands);
 }
 
 void GroupAdmission::updatePlan(Core::Clock::Monotonic now)
 {
     std::erase_if(m_siblings,
-                  [now](const auto &it) { return now - it.second.heard > SiblingSilence; });
+                  [now](const auto &it) { return now - it.second.receivedAt > SiblingTimeout; });
     std::vector<std::vector<TeamDemand>> demandByInstance {m_ownDemand};
     for (const auto &[sibling, demand] : m_siblings)
         demandByInstance.push_back(demand.demands);
     // Siblings that are not heard keep their safe shares, so only the others' are divided anew.
     auto policy = m_policy;
-    const auto heard = std::min<std::size_t>(demandByInstance.size(), m_siblingCount);
-    policy.slots = static_cast<std::uint32_t>(policy.slots * heard / m_siblingCount);
+    const auto knownInstances = std::min<std::size_t>(demandByInstance.size(), m_siblingCount);
+    policy.slots = static_cast<std::uint32_t>(policy.slots * knownInstances / m_siblingCount);
     const auto targets = fairTargets(policy, demandByInstance);
     const auto amounts = planLending(m_share.safeShare(), targets.slots, 0);
-    m_plan.clear();
+    m_lendingPlan.clear();
     std::size_t n = 0;
     for (const auto &[sibling, demand] : m_siblings)
-        m_plan[sibling] = amounts[++n];
-    updateLocality(targets, heard);
+        m_lendingPlan[sibling] = amounts[++n];
+    updateLocality(targets, knownInstances);
     updateReserve(now);
 }
 
@@ -272,31 +272,34 @@
         if (const auto team = m_scheduler->teamIndex(demand.team))
             demandByTeam[*team] += demand.slots;
     }
-    double expected = 0;
+    double unusedOwnedDemand = 0;
     for (std::size_t team = 0; team < demandByTeam.size(); ++team)
-        expected += m_scheduler->ownLeft(team, demandByTeam[team]);
+        unusedOwnedDemand += m_scheduler->remainingOwnedSlots(team, demandByTeam[team]);
     const auto share = m_share.available(now);
-    const double mostForTeams = std::ceil(BorrowerReserve * share);
-    m_scheduler->setReserve(static_cast<std::uint32_t>(std::min(expected, mostForTeams)));
-    const double most = std::ceil(ClassReserve * share);
+    const double maxOwnerReserve = std::ceil(MaxOwnerReserve * share);
+    m_scheduler->setReserve(
+        static_cast<std::uint32_t>(std::min(unusedOwnedDemand, maxOwnerReserve)));
+    const double maxClassReserve = std::ceil(MaxClassReserve * share);
     std::vector<std::uint32_t> classReserves;
-    double moreUrgent = 0;
+    double moreUrgentDemand = 0;
     for (const auto &it : m_policy.classes) {
-        classReserves.push_back(static_cast<std::uint32_t>(std::min(moreUrgent, most)));
+        classReserves.push_back(
+            static_cast<std::uint32_t>(std::min(moreUrgentDemand, maxClassReserve)));
         for (const auto &demand : m_ownDemand)
-            moreUrgent += demand.priorityClass == it.id ? demand.slots : 0;
+            moreUrgentDemand += demand.priorityClass == it.id ? demand.slots : 0;
     }
     m_scheduler->setClassReserves(std::move(classReserves));
 }
 
-void GroupAdmission::updateLocality(const FairTargets &targets, std::size_t heard)
+void GroupAdmission::updateLocality(const FairTargets &targets, std::size_t knownInstances)
 {
     const auto count = static_cast<double>(m_siblingCount);
-    const double known = static_cast<double>(heard) / count;
+    const double knownFraction = static_cast<double>(knownInstances) / count;
     std::vector<double> locality(m_policy.teams.size(), 1.0 / count);
     for (std::size_t team = 0; team < locality.size(); ++team) {
-        if (const auto part = targets.firstInstancePart[team])
-            locality[team] = EvenPart / count + (1 - EvenPart) * known * *part;
+        if (const auto part = targets.firstInstanceFraction[team])
+            locality[team] =
+                EvenLocalityFraction / count + (1 - EvenLocalityFraction) * knownFraction * *part;
     }
     m_scheduler->setLocality(std::move(locality));
 }
--- a/Libraries/LibAdmission/GroupAdmission.h
+++ b/Libraries/LibAdmission/GroupAdmission.h
@@ -25,7 +25,7 @@
     std::vector<PendingDecision> decisions;
     std::vector<TicketId> preemptions;
     /// The team of each request that is neither waiting nor running any more.
-    std::vector<Core::TeamId> left;
+    std::vector<Core::TeamId> endedRequestTeams;
 };
 
 /// Figures of one group at one instance.
@@ -64,7 +64,7 @@
     GroupActions tick(Core::Clock::Monotonic now);
 
     /// The group's part of the next report to a sibling.
-    GroupReport report(const Core::InstanceId &sibling, std::uint64_t answers,
+    GroupReport report(const Core::InstanceId &sibling, std::uint64_t answeredSequence,
                        Core::Clock::Monotonic now);
     GroupActions applyReport(const Core::InstanceId &sibling, const GroupReport &report,
                              Core::Clock::Monotonic answeredReportSent, Core::Clock::Monotonic now);
@@ -76,18 +76,18 @@
     struct SiblingDemand
     {
         std::vector<TeamDemand> demands;
-        Core::Clock::Monotonic heard;
+        Core::Clock::Monotonic receivedAt;
     };
 
-    std::optional<Core::Error> refusalAtDoor(const Ticket &ticket,
-                                             Core::Clock::Monotonic now) const;
+    std::optional<Core::Error> earlyRejection(const Ticket &ticket,
+                                              Core::Clock::Monotonic now) const;
     static void refuse(GroupActions &actions, WaitingRequest request, Core::Error error);
     void replaceScheduler(GroupActions &actions);
     void dispatch(GroupActions &actions, Core::Clock::Monotonic now);
     void updateOwnDemand();
     void updatePlan(Core::Clock::Monotonic now);
     void updateReserve(Core::Clock::Monotonic now);
-    void updateLocality(const FairTargets &targets, std::size_t heard);
+    void updateLocality(const FairTargets &targets, std::size_t knownInstances);
 
     const std::uint32_t m_groupIndex;
     mutable std::mutex m_mutex;
@@ -98,7 +98,7 @@
     std::uint32_t m_siblingCount = 1;
     std::vector<TeamDemand> m_ownDemand;
     std::map<Core::InstanceId, SiblingDemand> m_siblings;
-    std::map<Core::InstanceId, std::uint32_t> m_plan;
+    std::map<Core::InstanceId, std::uint32_t> m_lendingPlan;
 };
 
 } // namespace Admission
--- a/Libraries/LibAdmission/LeasedShare.h
+++ b/Libraries/LibAdmission/LeasedShare.h
@@ -53,12 +53,12 @@
     /// What may be used now: the safe share, less what is lent, plus what is borrowed.
     std::uint32_t available(Core::Clock::Monotonic now) const;
 
-    std::uint32_t safeShare() const { return m_safe; }
+    std::uint32_t safeShare() const { return m_safeShare; }
 
     /// Lends up to the given amount in answer to the sibling's report, replacing what the sibling
     /// had. Returns nothing when there is neither something to lend nor something to take back.
     std::optional<Lease> lend(const Core::InstanceId &sibling, std::uint32_t amount,
-                              std::uint64_t answers, Core::Clock::Monotonic now);
+                              std::uint64_t answeredSequence, Core::Clock::Monotonic now);
 
     /// Notes that the sibling has let go of every lease below the number.
     void noteAcknowledged(const Core::InstanceId &sibling, std::uint64_t number);
@@ -79,19 +79,19 @@
     struct Lent
     {
         Lease lease;
-        Core::Clock::Monotonic until;
+        Core::Clock::Monotonic expiresAt;
     };
     struct Borrowed
     {
         Lease lease;
-        Core::Clock::Monotonic until;
+        Core::Clock::Monotonic expiresAt;
         std::uint64_t acknowledged = 0;
     };
 
     std::uint32_t lentTo(const Core::InstanceId &sibling, Core::Clock::Monotonic now) const;
-    std::uint32_t lentInAll(Core::Clock::Monotonic now) const;
+    std::uint32_t totalLent(Core::Clock::Monotonic now) const;
 
-    std::uint32_t m_safe = 1;
+    std::uint32_t m_safeShare = 1;
     std::uint64_t m_lastNumber = 0;
     std::map<Core::InstanceId, std::vector<Lent>> m_lent;
     std::map<Core::InstanceId, Borrowed> m_borrowed;
--- a/Libraries/LibAdmission/RetryBudget.h
+++ b/Libraries/LibAdmission/RetryBudget.h
@@ -33,14 +33,14 @@
 
 private:
     void add(std::int64_t amount);
-    void addForTime(Core::Clock::Monotonic now);
+    void addForElapsedTime(Core::Clock::Monotonic now);
 
-    const std::int64_t m_perSuccess;
-    const double m_perNanosecond;
-    const std::int64_t m_most;
+    const std::int64_t m_unitsPerSuccess;
+    const double m_unitsPerNanosecond;
+    const std::int64_t m_maxBalance;
     /// In thousandths of a retry.
     std::atomic<std::int64_t> m_balance;
-    std::atomic<Core::Clock::Monotonic::rep> m_lastGrant {0};
+    std::atomic<Core::Clock::Monotonic::rep> m_lastRefill {0};
 };
 
 } // namespace Admission
--- a/Libraries/LibAdmission/SlotScheduler.cpp
+++ b/Libraries/LibAdmission/SlotScheduler.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr double PaceGain = 0.2;
-constexpr double LeastWeight = 1e-6;
-constexpr std::chrono::duration<double> LongestDebt {2.0};
+constexpr double GrantIntervalGain = 0.2;
+constexpr double MinWeight = 1e-6;
+constexpr std::chrono::duration<double> MaxFloorDebt {2.0};
 /// Running requests looked at for one preemption.
 constexpr int VictimScanLimit = 32;
 
@@ -42,7 +42,7 @@
     return std::nullopt;
 }
 
-bool SlotScheduler::hasRoom(std::size_t classIndex, std::size_t teamIndex) const
+bool SlotScheduler::hasQueueRoom(std::size_t classIndex, std::size_t teamIndex) const
 {
     const auto limit = m_policy.classes[classIndex].queueLimit;
     const auto queued = m_classes[classIndex].queued;
@@ -53,7 +53,7 @@
                                                       std::size_t teamIndex) const
 {
     const auto &it = queue(classIndex, teamIndex);
-    const auto wait = it.pace * static_cast<double>(it.waiting.size());
+    const auto wait = it.grantInterval * static_cast<double>(it.waiting.size());
     return std::chrono::duration_cast<std::chrono::microseconds>(wait);
 }
 
@@ -75,14 +75,14 @@
     const auto &entry = it->second;
     auto &state = m_classes[entry.classIndex];
     auto &delay = entry.isBorrowed ? state.borrowedDelay : state.ownDelay;
-    delay.note(now - entry.granted - entry.request.ticket.expectedFirstToken);
+    delay.addSample(now - entry.granted - entry.request.ticket.expectedFirstToken);
 }
 
-void SlotScheduler::fadeDelays()
+void SlotScheduler::decayDelays()
 {
     for (auto &state : m_classes) {
-        state.ownDelay.fade();
-        state.borrowedDelay.fade();
+        state.ownDelay.decay();
+        state.borrowedDelay.decay();
     }
 }
 
@@ -162,7 +162,7 @@
     if (entry.yieldsTo) {
         --team.yielding;
         --m_classes[entry.classIndex].yielding;
-        --m_queues[*entry.yieldsTo].expected;
+        --m_queues[*entry.yieldsTo].pendingYields;
     }
     m_preemptible.erase(entry.startOrder);
     auto teamId = it->second.request.ticket.team;
@@ -186,10 +186,10 @@
     return std::nullopt;
 }
 
-double SlotScheduler::ownLeft(std::size_t teamIndex, double atMost) const
+double SlotScheduler::remainingOwnedSlots(std::size_t teamIndex, double atMost) const
 {
-    const double left = owned(teamIndex) - use(m_classes.size() - 1, teamIndex);
-    return std::clamp(left, 0.0, atMost);
+    const double remaining = ownedSlots(teamIndex) - usedSlots(m_classes.size() - 1, teamIndex);
+    return std::clamp(remaining, 0.0, atMost);
 }
 
 std::size_t SlotScheduler::waiting() const
@@ -240,15 +240,15 @@
 
 double SlotScheduler::weight(std::size_t teamIndex) const
 {
-    return std::max(LeastWeight, m_policy.teams[teamIndex].weight * m_locality[teamIndex]);
+    return std::max(MinWeight, m_policy.teams[teamIndex].weight * m_locality[teamIndex]);
 }
 
-double SlotScheduler::owned(std::size_t teamIndex) const
+double SlotScheduler::ownedSlots(std::size_t teamIndex) const
 {
     return m_policy.teams[teamIndex].ownedShare * m_policy.slots * m_locality[teamIndex];
 }
 
-double SlotScheduler::use(std::size_t classIndex, std::size_t teamIndex) const
+double SlotScheduler::usedSlots(std::size_t classIndex, std::size_t teamIndex) const
 {
     double sum = 0;
     for (std::size_t cls = 0; cls <= classIndex; ++cls)
@@ -258,7 +258,7 @@
 
 bool SlotScheduler::isEntitled(std::size_t classIndex, std::size_t teamIndex) const
 {
-    return use(classIndex, teamIndex) < owned(teamIndex);
+    return usedSlots(classIndex, teamIndex) < ownedSlots(teamIndex);
 }
 
 bool SlotScheduler::isBelowFloor(std::size_t classIndex, std::uint32_t share) const
@@ -313,7 +313,7 @@
 ScheduledRequest SlotScheduler::start(const Choice &choice, Core::Clock::Monotonic now)
 {
     auto &it = queue(choice.classIndex, choice.teamIndex);
-    notePace(it, now);
+    updateGrantInterval(it, now);
     auto request = popFront(choice.classIndex, choice.teamIndex);
     auto &state = m_classes[choice.classIndex];
     state.virtualTime = std::max(state.virtualTime, it.service);
@@ -358,15 +358,15 @@
         std::erase(state.active, teamIndex);
 }
 
-void SlotScheduler::notePace(Queue &queue, Core::Clock::Monotonic now)
+void SlotScheduler::updateGrantInterval(Queue &queue, Core::Clock::Monotonic now)
 {
     // The wait of a request that found its queue empty only shows that the pace is at most that.
     const auto since = queue.lastGrant.value_or(queue.waiting.front().arrived);
     const std::chrono::duration<double> gap = now - since;
-    if (queue.lastGrant && queue.pace.count() <= 0)
-        queue.pace = gap;
-    else if (queue.lastGrant || gap < queue.pace)
-        queue.pace += PaceGain * (gap - queue.pace);
+    if (queue.lastGrant && queue.grantInterval.count() <= 0)
+        queue.grantInterval = gap;
+    else if (queue.lastGrant || gap < queue.grantInterval)
+        queue.grantInterval += GrantIntervalGain * (gap - queue.grantInterval);
     queue.lastGrant = now;
 }
 
@@ -378,11 +378,11 @@
     for (std::size_t cls = 0; cls < m_classes.size(); ++cls) {
         auto &state = m_classes[cls];
         const double floorSlots = m_policy.classes[cls].floorShare * m_share;
-        const double most = floorSlots * LongestDebt.count();
-        const double behind = (floorSlots - state.running) * elapsed.count();
+        const double maxDebt = floorSlots * MaxFloorDebt.count();
+        const double debtIncrease = (floorSlots - state.running) * elapsed.count();
         // A class without waiting work is not behind.
-        const double ceiling = state.queued > 0 ? most : 0.0;
-        state.floorDebt = std::clamp(state.floorDebt + behind, -most, ceiling);
+        const double ceiling = state.queued > 0 ? maxDebt : 0.0;
+        state.floorDebt = std::clamp(state.floorDebt + debtIncrease, -maxDebt, ceiling);
     }
 }
 
@@ -390,9 +390,10 @@
                                                               std::size_t teamIndex) const
 {
     const auto &it = queue(classIndex, teamIndex);
-    if (it.waiting.size() <= it.expected)
+    if (it.waiting.size() <= it.pendingYields)
         return std::nullopt;
-    const bool isEntitled = use(classIndex, teamIndex) + it.expected < owned(teamIndex);
+    const bool isEntitled =
+        usedSlots(classIndex, teamIndex) + it.pendingYields < ownedSlots(teamIndex);
     if (!isEntitled && !m_policy.teams[teamIndex].mayBorrow)
         return std::nullopt;
     return Choice {classIndex, teamIndex, !isEntitled};
@@ -410,26 +411,26 @@
     const bool isLessUrgent = victim.classIndex > waiting.classIndex;
     if (isLessUrgent && victim.teamIndex == waiting.teamIndex)
         return true;
-    double kept = use(victim.classIndex, victim.teamIndex);
+    double usedAfterYields = usedSlots(victim.classIndex, victim.teamIndex);
     for (std::size_t cls = 0; cls <= victim.classIndex; ++cls)
-        kept -= queue(cls, victim.teamIndex).yielding;
-    const bool isOver = kept > std::ceil(owned(victim.teamIndex));
-    return isOver && (isLessUrgent || !waiting.borrowed);
+        usedAfterYields -= queue(cls, victim.teamIndex).yielding;
+    const bool isOverOwned = usedAfterYields > std::ceil(ownedSlots(victim.teamIndex));
+    return isOverOwned && (isLessUrgent || !waiting.borrowed);
 }
 
 std::optional<std::uint64_t> SlotScheduler::youngestVictim(const Choice &waiting,
                                                            std::uint32_t share)
 {
-    int looked = 0;
+    int scanned = 0;
     for (auto it = m_preemptible.rbegin(); it != m_preemptible.rend(); ++it) {
-        if (++looked > VictimScanLimit)
+        if (++scanned > VictimScanLimit)
             break;
         auto &entry = m_running.at(it->second);
         if (!mayYield(entry, waiting, share))
             continue;
         const auto number = it->second;
         entry.yieldsTo = waiting.classIndex * m_policy.teams.size() + waiting.teamIndex;
-        ++queue(waiting.classIndex, waiting.teamIndex).expected;
+        ++queue(waiting.classIndex, waiting.teamIndex).pendingYields;
         ++queue(entry.classIndex, entry.teamIndex).yielding;
         ++m_classes[entry.classIndex].yielding;
         m_preemptible.erase(std::next(it).base());
--- a/Libraries/LibAdmission/SlotScheduler.h
+++ b/Libraries/LibAdmission/SlotScheduler.h
@@ -49,7 +49,7 @@
 
     /// Whether another request of the team fits the class's queue: a team may fill at most as much
     /// of it as is left free, so that one flood leaves room for the other teams.
-    bool hasRoom(std::size_t classIndex, std::size_t teamIndex) const;
+    bool hasQueueRoom(std::size_t classIndex, std::size_t teamIndex) const;
 
     /// Time that a new request of the team would wait, from the recent pace of its queue.
     std::chrono::microseconds expectedWait(std::size_t classIndex, std::size_t teamIndex) const;
@@ -62,7 +62,7 @@
     void noteFirstToken(std::uint64_t number, Core::Clock::Monotonic now);
     /// Lets what was learned fade while no first tokens come, so that a class that is refused
     /// altogether is tried again. Call at a steady pace.
-    void fadeDelays();
+    void decayDelays();
 
     /// Adds a request whose team and class the policy knows. A resumed one goes to the front.
     void enqueue(WaitingRequest request);
@@ -92,7 +92,7 @@
     /// Keeps slots free of each class's work, by class position, for more urgent classes.
     void setClassReserves(std::vector<std::uint32_t> slots) { m_classReserves = std::move(slots); }
     /// Slots that the team could still take within its own capacity, at most as many as given.
-    double ownLeft(std::size_t teamIndex, double atMost) const;
+    double remainingOwnedSlots(std::size_t teamIndex, double atMost) const;
 
     std::uint32_t running() const { return static_cast<std::uint32_t>(m_running.size()); }
     std::size_t waiting() const;
@@ -111,11 +111,11 @@
         /// Running requests that were asked to yield.
         std::uint32_t yielding = 0;
         /// Running requests, of any queue, that yield for this queue's sake.
-        std::uint32_t expected = 0;
+        std::uint32_t pendingYields = 0;
         /// Tokens of service divided by weight.
         double service = 0;
         /// Time between grants while the queue was never empty; 0 while unknown.
-        std::chrono::duration<double> pace {0};
+        std::chrono::duration<double> grantInterval {0};
         std::optional<Core::Clock::Monotonic> lastGrant;
     };
     struct ClassState
@@ -159,8 +159,8 @@
     Queue &queue(std::size_t classIndex, std::size_t teamIndex);
     const Queue &queue(std::size_t classIndex, std::size_t teamIndex) const;
     double weight(std::size_t teamIndex) const;
-    double owned(std::size_t teamIndex) const;
-    double use(std::size_t classIndex, std::size_t teamIndex) const;
+    double ownedSlots(std::size_t teamIndex) const;
+    double usedSlots(std::size_t classIndex, std::size_t teamIndex) const;
     bool isEntitled(std::size_t classIndex, std::size_t teamIndex) const;
     bool isBelowFloor(std::size_t classIndex, std::uint32_t share) const;
     bool isReserved(std::size_t classIndex, Pass pass, std::uint32_t share) const;
@@ -171,7 +171,7 @@
     void noteRunning(Running entry, std::size_t classIndex, std::size_t teamIndex);
     WaitingRequest popFront(std::size_t classIndex, std::size_t teamIndex);
     void noteWaitingRemoved(std::size_t classIndex, std::size_t teamIndex, std::uint64_t number);
-    static void notePace(Queue &queue, Core::Clock::Monotonic now);
+    static void updateGrantInterval(Queue &queue, Core::Clock::Monotonic now);
     void updateFloorDebt(Core::Clock::Monotonic now);
     std::optional<Choice> preemptor(std::size_t classIndex, std::size_t teamIndex) const;
     bool mayYield(const Running &victim, const Choice &waiting, std::uint32_t share) const;
--- a/Libraries/LibAdmission/SuspectTable.cpp
+++ b/Libraries/LibAdmission/SuspectTable.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// The newest first; ties by name, so that every instance keeps the same ones.
-bool isNewer(const CrashNote &a, const CrashNote &b)
+bool isNewer(const CrashRecord &a, const CrashRecord &b)
 {
     return a.time != b.time ? a.time > b.time : a.crash > b.crash;
 }
@@ -34,12 +34,13 @@
     if (it == m_records.end())
         return SuspectVerdict::Clear;
     const auto &crashes = it->second.crashes;
-    const auto live = std::count_if(crashes.begin(), crashes.end(),
-                                    [&](const auto &note) { return isLive(note, it->second); });
-    if (live == 0)
+    const auto counted =
+        std::count_if(crashes.begin(), crashes.end(),
+                      [&](const auto &crashRecord) { return isCounted(crashRecord, it->second); });
+    if (counted == 0)
         return SuspectVerdict::Clear;
-    return static_cast<std::size_t>(live) < m_settings.crashLimit ? SuspectVerdict::Suspect
-                                                                  : SuspectVerdict::Poison;
+    return static_cast<std::size_t>(counted) < m_settings.crashLimit ? SuspectVerdict::Suspect
+                                                                     : SuspectVerdict::Poison;
 }
 
 void SuspectTable::noteCrash(std::uint64_t crash, std::span<const RequestDigest> running)
@@ -90,16 +91,16 @@
     auto &it = m_records[record.digest];
     it.digest = record.digest;
     it.clearedAt = std::max(it.clearedAt, record.clearedAt);
-    for (const auto &note : record.crashes) {
+    for (const auto &crashRecord : record.crashes) {
         const auto same =
             std::find_if(it.crashes.begin(), it.crashes.end(),
-                         [&](const auto &known) { return known.crash == note.crash; });
+                         [&](const auto &known) { return known.crash == crashRecord.crash; });
         if (same == it.crashes.end())
-            it.crashes.push_back(note);
+            it.crashes.push_back(crashRecord);
         else
-            same->time = std::max(same->time, note.time);
+            same->time = std::max(same->time, crashRecord.time);
     }
-    std::erase_if(it.crashes, [&](const auto &note) { return !isLive(note, it); });
+    std::erase_if(it.crashes, [&](const auto &crashRecord) { return !isCounted(crashRecord, it); });
     std::sort(it.crashes.begin(), it.crashes.end(), isNewer);
     if (it.crashes.size() > m_settings.crashLimit)
         it.crashes.resize(m_settings.crashLimit);
@@ -109,9 +110,10 @@
     m_size = m_records.size();
 }
 
-bool SuspectTable::isLive(const CrashNote &note, const SuspectRecord &record) const
+bool SuspectTable::isCounted(const CrashRecord &crashRecord, const SuspectRecord &record) const
 {
-    return note.time > record.clearedAt && note.time + m_settings.window >= m_clock.wallNow();
+    return crashRecord.time > record.clearedAt
+           && crashRecord.time + m_settings.window >= m_clock.wallNow();
 }
 
 void SuspectTable::evictLocked()
--- a/Libraries/LibAdmission/SuspectTable.h
+++ b/Libraries/LibAdmission/SuspectTable.h
@@ -18,14 +18,14 @@
 using RequestDigest = std::uint64_t;
 
 /// One upstream crash while a request ran on it.
-struct CrashNote
+struct CrashRecord
 {
     /// Names the crash: the same for every instance that saw it, a hash of the upstream and the
     /// incarnation that ended.
     std::uint64_t crash = 0;
     Core::Clock::Wall time;
 
-    friend bool operator==(const CrashNote &, const CrashNote &) = default;
+    friend bool operator==(const CrashRecord &, const CrashRecord &) = default;
 };
 
 /// What is known of one digest, as siblings exchange it.
@@ -33,7 +33,7 @@
 {
     RequestDigest digest = 0;
     /// The newest crashes first; at most the limit.
-    std::vector<CrashNote> crashes;
+    std::vector<CrashRecord> crashes;
     /// Crashes up to this time do not count: a request of the digest was answered then.
     Core::Clock::Wall clearedAt;
 
@@ -81,7 +81,7 @@
 
 private:
     void mergeLocked(const SuspectRecord &record);
-    bool isLive(const CrashNote &note, const SuspectRecord &record) const;
+    bool isCounted(const CrashRecord &crashRecord, const SuspectRecord &record) const;
     void evictLocked();
 
     const Core::Clock &m_clock;
--- a/Libraries/LibAdmission/TeamLimits.cpp
+++ b/Libraries/LibAdmission/TeamLimits.cpp
@@ -8,39 +8,40 @@
 namespace {
 
 constexpr double DemandGain = 0.3;
-constexpr double LeastDemand = 0.01;
-constexpr std::chrono::milliseconds SiblingSilence = LeaseDuration;
+constexpr double MinRateDemand = 0.01;
+constexpr std::chrono::milliseconds SiblingTimeout = LeaseDuration;
 
 } // namespace
 
 void TeamLimits::configure(const std::vector<TeamLimitPolicy> &limits)
 {
-    std::unordered_map<Core::TeamId, TeamLimitPolicy> wanted;
+    std::unordered_map<Core::TeamId, TeamLimitPolicy> configured;
     for (const auto &limit : limits)
-        wanted.emplace(limit.team, limit);
+        configured.emplace(limit.team, limit);
     for (auto &shard : m_shards) {
         std::scoped_lock lock(shard.mutex);
-        std::erase_if(shard.teams, [&](const auto &it) { return !wanted.contains(it.first); });
+        std::erase_if(shard.teams, [&](const auto &it) { return !configured.contains(it.first); });
     }
     for (const auto &limit : limits) {
         auto &shard = shardOf(limit.team);
         std::scoped_lock lock(shard.mutex);
         auto &team = shard.teams[limit.team];
         team.policy = limit;
-        team.rate.setSafeShare(limit.requestsPerSecond, m_index, m_count);
-        team.concurrency.setSafeShare(limit.concurrentRequests, m_index, m_count);
+        team.rate.setSafeShare(limit.requestsPerSecond, m_siblingIndex, m_siblingCount);
+        team.concurrency.setSafeShare(limit.concurrentRequests, m_siblingIndex, m_siblingCount);
     }
 }
 
 void TeamLimits::setPosition(std::uint32_t index, std::uint32_t count)
 {
-    m_index = index;
-    m_count = std::max<std::uint32_t>(count, 1);
+    m_siblingIndex = index;
+    m_siblingCount = std::max<std::uint32_t>(count, 1);
     for (auto &shard : m_shards) {
         std::scoped_lock lock(shard.mutex);
         for (auto &[id, team] : shard.teams) {
-            team.rate.setSafeShare(team.policy.requestsPerSecond, m_index, m_count);
-            team.concurrency.setSafeShare(team.policy.concurrentRequests, m_index, m_count);
+            team.rate.setSafeShare(team.policy.requestsPerSecond, m_siblingIndex, m_siblingCount);
+            team.concurrency.setSafeShare(team.policy.concurrentRequests, m_siblingIndex,
+                                          m_siblingCount);
         }
     }
 }
@@ -53,10 +54,10 @@
     if (it == shard.teams.end())
         return true;
     auto &team = it->second;
-    ++team.asked;
-    team.mostWanted = std::max(team.mostWanted, team.inside + 1);
-    const bool isFull =
-        team.policy.concurrentRequests > 0 && team.inside >= team.concurrency.available(now);
+    ++team.arrivals;
+    team.peakConcurrency = std::max(team.peakConcurrency, team.activeRequests + 1);
+    const bool isFull = team.policy.concurrentRequests > 0
+                        && team.activeRequests >= team.concurrency.available(now);
     if (isFull)
         return false;
     if (team.policy.requestsPerSecond > 0) {
@@ -65,7 +66,7 @@
             return false;
         team.tokens -= 1;
     }
-    ++team.inside;
+    ++team.activeRequests;
     return true;
 }
 
@@ -74,7 +75,7 @@
     auto &shard = shardOf(id);
     std::scoped_lock lock(shard.mutex);
     if (const auto it = shard.teams.find(id); it != shard.teams.end())
-        ++it->second.inside;
+        ++it->second.activeRequests;
 }
 
 void TeamLimits::leave(const Core::TeamId &id)
@@ -82,8 +83,9 @@
     auto &shard = shardOf(id);
     std::scoped_lock lock(shard.mutex);
     // A limit that came with a new configuration has not counted the requests before it in.
-    if (const auto it = shard.teams.find(id); it != shard.teams.end() && it->second.inside > 0)
-        --it->second.inside;
+    if (const auto it = shard.teams.find(id);
+        it != shard.teams.end() && it->second.activeRequests > 0)
+        --it->second.activeRequests;
 }
 
 void TeamLimits::tick(Core::Clock::Monotonic now)
@@ -101,25 +103,27 @@
 }
 
 std::vector<TeamLimitReport> TeamLimits::report(const Core::InstanceId &sibling,
-                                                std::uint64_t answers, Core::Clock::Monotonic now)
+                                                std::uint64_t answeredSequence,
+                                                Core::Clock::Monotonic now)
 {
     std::vector<TeamLimitReport> reports;
     for (auto &shard : m_shards) {
         std::scoped_lock lock(shard.mutex);
         for (auto &[id, team] : shard.teams) {
             const auto planned = team.plans.find(sibling);
-            const auto plan = planned == team.plans.end() ? Plan() : planned->second;
+            const auto plan = planned == team.plans.end() ? LendingPlan() : planned->second;
             const auto rateInUse = std::min<double>(team.rateDemand, team.rate.available(now));
             TeamLimitReport it {
                 .team = id,
                 .rateDemand = team.rateDemand,
                 .concurrencyDemand = team.concurrencyDemand,
-                .rate = {team.rate.lend(sibling, plan.rate, answers, now),
+                .rate = {team.rate.lend(sibling, plan.rate, answeredSequence, now),
                          team.rate.acknowledge(sibling, static_cast<std::uint32_t>(rateInUse),
                                                now)},
-                .concurrency = {team.concurrency.lend(sibling, plan.concurrency, answers, now),
-                                team.concurrency.acknowledge(sibling, team.inside, now)}};
-            const bool isIdle = team.rateDemand < LeastDemand && team.inside == 0;
+                .concurrency = {
+                    team.concurrency.lend(sibling, plan.concurrency, answeredSequence, now),
+                    team.concurrency.acknowledge(sibling, team.activeRequests, now)}};
+            const bool isIdle = team.rateDemand < MinRateDemand && team.activeRequests == 0;
             if (!isIdle || it.rate.lease || it.concurrency.lease)
                 reports.push_back(std::move(it));
         }
@@ -166,31 +170,31 @@
 {
     const auto rate = static_cast<double>(team.rate.available(now));
     const double burst = std::max(rate, 1.0);
-    if (!team.refilled) {
+    if (!team.lastRefill) {
         team.tokens = burst;
     } else {
-        const std::chrono::duration<double> elapsed = now - *team.refilled;
+        const std::chrono::duration<double> elapsed = now - *team.lastRefill;
         team.tokens = std::min(burst, team.tokens + rate * elapsed.count());
     }
-    team.refilled = now;
+    team.lastRefill = now;
 }
 
 void TeamLimits::updateDemand(Team &team, std::chrono::duration<double> elapsed) const
 {
     if (elapsed.count() > 0) {
-        const double rate = team.asked / elapsed.count();
+        const double rate = team.arrivals / elapsed.count();
         team.rateDemand += DemandGain * (rate - team.rateDemand);
     }
     team.concurrencyDemand =
-        std::max<double>(team.mostWanted, team.concurrencyDemand * (1 - DemandGain));
-    team.asked = 0;
-    team.mostWanted = team.inside;
+        std::max<double>(team.peakConcurrency, team.concurrencyDemand * (1 - DemandGain));
+    team.arrivals = 0;
+    team.peakConcurrency = team.activeRequests;
 }
 
 void TeamLimits::updatePlans(Team &team, Core::Clock::Monotonic now) const
 {
     std::erase_if(team.siblings,
-                  [now](const auto &it) { return now - it.second.heard > SiblingSilence; });
+                  [now](const auto &it) { return now - it.second.receivedAt > SiblingTimeout; });
     const auto rates = planLending(
         team.rate.safeShare(),
         targets(team.policy.requestsPerSecond, team.rateDemand, team, &SiblingDemand::rate), 0);
@@ -207,21 +211,21 @@
     }
 }
 
-std::vector<double> TeamLimits::targets(double limit, double own, const Team &team,
+std::vector<double> TeamLimits::targets(double limit, double ownDemand, const Team &team,
                                         double SiblingDemand::*demand) const
 {
     // Equal weights: no instance's callers are worth more than another's.
-    std::vector<Claimant> claimants {{own, 1}};
+    std::vector<Claimant> claimants {{ownDemand, 1}};
     for (const auto &[sibling, it] : team.siblings)
         claimants.push_back({it.*demand, 1});
-    const auto heard = static_cast<double>(claimants.size());
-    const double whole = limit * std::min(1.0, heard / m_count);
-    auto shares = weightedMaxMin(whole, claimants);
-    double left = whole;
+    const auto knownInstances = static_cast<double>(claimants.size());
+    const double knownLimit = limit * std::min(1.0, knownInstances / m_siblingCount);
+    auto shares = weightedMaxMin(knownLimit, claimants);
+    double unclaimed = knownLimit;
     for (const auto share : shares)
-        left -= share;
+        unclaimed -= share;
     for (auto &share : shares)
-        share += std::max(0.0, left) / heard;
+        share += std::max(0.0, unclaimed) / knownInstances;
     return shares;
 }
 
--- a/Libraries/LibAdmission/TeamLimits.h
+++ b/Libraries/LibAdmission/TeamLimits.h
@@ -34,8 +34,8 @@
     /// Renews demand and lending plans. Called before each round of reports, by one thread at a
     /// time.
     void tick(Core::Clock::Monotonic now);
-    std::vector<TeamLimitReport> report(const Core::InstanceId &sibling, std::uint64_t answers,
-                                        Core::Clock::Monotonic now);
+    std::vector<TeamLimitReport> report(const Core::InstanceId &sibling,
+                                        std::uint64_t answeredSequence, Core::Clock::Monotonic now);
     void applyReport(const Core::InstanceId &sibling, const TeamLimitReport &report,
                      Core::Clock::Monotonic answeredReportSent, Core::Clock::Monotonic now);
     void forgetSibling(const Core::InstanceId &sibling);
@@ -45,9 +45,9 @@
     {
         double rate = 0;
         double concurrency = 0;
-        Core::Clock::Monotonic heard;
+        Core::Clock::Monotonic receivedAt;
     };
-    struct Plan
+    struct LendingPlan
     {
         std::uint32_t rate = 0;
         std::uint32_t concurrency = 0;
@@ -58,15 +58,15 @@
         LeasedShare rate;
         LeasedShare concurrency;
         double tokens = 0;
-        std::optional<Core::Clock::Monotonic> refilled;
-        std::uint32_t inside = 0;
+        std::optional<Core::Clock::Monotonic> lastRefill;
+        std::uint32_t activeRequests = 0;
         /// Requests that asked to enter since the last tick.
-        std::uint32_t asked = 0;
-        std::uint32_t mostWanted = 0;
+        std::uint32_t arrivals = 0;
+        std::uint32_t peakConcurrency = 0;
         double rateDemand = 0;
         double concurrencyDemand = 0;
         std::map<Core::InstanceId, SiblingDemand> siblings;
-        std::map<Core::InstanceId, Plan> plans;
+        std::map<Core::InstanceId, LendingPlan> plans;
     };
     struct Shard
     {
@@ -79,12 +79,12 @@
     void refill(Team &team, Core::Clock::Monotonic now) const;
     void updateDemand(Team &team, std::chrono::duration<double> elapsed) const;
     void updatePlans(Team &team, Core::Clock::Monotonic now) const;
-    std::vector<double> targets(double limit, double own, const Team &team,
+    std::vector<double> targets(double limit, double ownDemand, const Team &team,
                                 double SiblingDemand::*demand) const;
 
     std::array<Shard, ShardCount> m_shards;
-    std::atomic<std::uint32_t> m_index {0};
-    std::atomic<std::uint32_t> m_count {1};
+    std::atomic<std::uint32_t> m_siblingIndex {0};
+    std::atomic<std::uint32_t> m_siblingCount {1};
     std::optional<Core::Clock::Monotonic> m_lastTick;
 };
 
--- a/Libraries/LibAdmission/UpstreamCircuit.cpp
+++ b/Libraries/LibAdmission/UpstreamCircuit.cpp
@@ -6,7 +6,7 @@
 
 UpstreamCircuit::UpstreamCircuit(const CircuitSettings &settings)
     : m_settings(settings)
-    , m_pause(settings.firstPause)
+    , m_pause(settings.initialPause)
 { }
 
 bool UpstreamCircuit::mayTry(Core::Clock::Monotonic now)
@@ -20,7 +20,7 @@
     return true;
 }
 
-void UpstreamCircuit::abandon()
+void UpstreamCircuit::abandonProbe()
 {
     std::scoped_lock lock(m_mutex);
     if (m_state == CircuitState::HalfOpen)
@@ -32,7 +32,7 @@
     std::scoped_lock lock(m_mutex);
     m_state = CircuitState::Closed;
     m_failures = 0;
-    m_pause = m_settings.firstPause;
+    m_pause = m_settings.initialPause;
 }
 
 void UpstreamCircuit::noteFailure(Core::Clock::Monotonic now, std::mt19937_64 &rng)
@@ -46,7 +46,7 @@
     m_state = CircuitState::Open;
     std::uniform_real_distribution<double> jitter(0.5, 1.0);
     m_probeAt = now + std::chrono::duration_cast<std::chrono::nanoseconds>(m_pause * jitter(rng));
-    m_pause = std::min(m_pause * 2, m_settings.longestPause);
+    m_pause = std::min(m_pause * 2, m_settings.maxPause);
 }
 
 CircuitState UpstreamCircuit::state() const
--- a/Libraries/LibAdmission/UpstreamCircuit.h
+++ b/Libraries/LibAdmission/UpstreamCircuit.h
@@ -22,8 +22,8 @@
 {
     /// Failures in a row that open the circuit.
     std::uint32_t failures = 3;
-    std::chrono::milliseconds firstPause {250};
-    std::chrono::milliseconds longestPause {8000};
+    std::chrono::milliseconds initialPause {250};
+    std::chrono::milliseconds maxPause {8000};
 };
 
 /// Passes an upstream over after failures in a row, and lets one request at a time probe it after
@@ -37,7 +37,7 @@
     /// request is the probe; it must report success, failure or abandon().
     bool mayTry(Core::Clock::Monotonic now);
     /// The probe ended without telling anything about the upstream.
-    void abandon();
+    void abandonProbe();
     /// The upstream answered.
     void noteSuccess();
     /// The upstream could not be connected, broke off or timed out.
--- a/Tests/LibAdmission/TestLeasedShare.cpp
+++ b/Tests/LibAdmission/TestLeasedShare.cpp
@@ -24,9 +24,9 @@
 };
 
 /// Siblings that lend to each other at random over a link that loses, doubles and reorders.
-struct Exchange
+struct LeaseExchange
 {
-    explicit Exchange(std::uint64_t seed)
+    explicit LeaseExchange(std::uint64_t seed)
         : rng(seed)
     {
         for (std::uint32_t n = 0; n < Siblings; ++n)
@@ -45,9 +45,9 @@
         it.to = (it.from + 1 + rng() % (Siblings - 1)) % Siblings;
         it.sequence = ++sequence[it.from][it.to];
         sentAt[it.from][it.to].push_back(now);
-        const auto heard = received[it.from][it.to];
-        if (heard > 0)
-            it.lease = shares[it.from].lend(name(it.to), rng() % 20, heard, now);
+        const auto lastReceived = received[it.from][it.to];
+        if (lastReceived > 0)
+            it.lease = shares[it.from].lend(name(it.to), rng() % 20, lastReceived, now);
         it.acknowledged = shares[it.from].acknowledge(name(it.to), 0, now);
         link.push_back(it);
     }
@@ -90,9 +90,9 @@
 
 TEST_CASE("shares never add up to more than the whole under loss, doubling and reordering")
 {
-    std::uint32_t mostLent = 0;
+    std::uint32_t maxBorrowed = 0;
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-        Exchange exchange(seed);
+        LeaseExchange exchange(seed);
         REQUIRE(exchange.total() == Quantity);
         for (int step = 0; step < 2000; ++step) {
             exchange.rng() % 2 == 0 ? exchange.send() : exchange.receive();
@@ -101,7 +101,7 @@
             for (const auto &share : exchange.shares) {
                 const auto available = share.available(exchange.now);
                 if (available > share.safeShare())
-                    mostLent = std::max(mostLent, available - share.safeShare());
+                    maxBorrowed = std::max(maxBorrowed, available - share.safeShare());
             }
         }
         // Cut off, each falls back to its safe share.
@@ -111,7 +111,7 @@
             CHECK(share.available(exchange.now) == share.safeShare());
     }
     // The sweep has really lent.
-    CHECK(mostLent > 0);
+    CHECK(maxBorrowed > 0);
 }
 
 TEST_CASE("a quantity smaller than the number of siblings gives each one")
--- a/Tests/LibAdmission/TestRetries.cpp
+++ b/Tests/LibAdmission/TestRetries.cpp
@@ -51,7 +51,7 @@
     CHECK_FALSE(circuit.mayTry(clock.now()));
     clock.advance(251ms);
     CHECK(circuit.mayTry(clock.now()));
-    circuit.abandon();
+    circuit.abandonProbe();
     CHECK(circuit.mayTry(clock.now()));
     circuit.noteSuccess();
     CHECK(circuit.mayTry(clock.now()));
@@ -73,8 +73,8 @@
                 if (rng() % 5 == 0)
                     source.noteAnswered(digest);
             }
-            const auto some = source.records(100);
-            records.insert(records.end(), some.begin(), some.end());
+            const auto exported = source.records(100);
+            records.insert(records.end(), exported.begin(), exported.end());
         }
         SuspectTable left(clock, {});
         SuspectTable right(clock, {});
@@ -92,44 +92,44 @@
     constexpr std::size_t Instances = 6;
     constexpr std::size_t Upstreams = 18;
     constexpr RequestDigest Poison = 999;
-    std::size_t worst = 0;
+    std::size_t maxCrashedUpstreams = 0;
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         Core::ManualClock clock;
         std::mt19937_64 rng(seed);
         std::vector<std::unique_ptr<SuspectTable>> tables;
         for (std::size_t n = 0; n < Instances; ++n)
             tables.push_back(std::make_unique<SuspectTable>(clock, SuspectSettings {}));
-        std::size_t lost = 0;
-        std::size_t refusedInnocents = 0;
+        std::size_t crashedUpstreams = 0;
+        std::size_t refusedHarmless = 0;
         for (int resend = 0; resend < 40; ++resend) {
             clock.advance(1s);
             auto &table = *tables[rng() % Instances];
             // Innocent requests with the same prefix ran on the same upstream.
-            const std::vector<RequestDigest> innocents {rng() % 100, rng() % 100};
+            const std::vector<RequestDigest> harmlessRequests {rng() % 100, rng() % 100};
             if (table.check(Poison) != SuspectVerdict::Poison) {
-                ++lost;
+                ++crashedUpstreams;
                 std::vector<RequestDigest> running {Poison};
-                for (const auto digest : innocents) {
+                for (const auto digest : harmlessRequests) {
                     // Two suspects never share an upstream.
                     if (table.check(digest) == SuspectVerdict::Clear)
                         running.push_back(digest);
                 }
-                table.noteCrash(rng() % Upstreams * 1000 + lost, running);
+                table.noteCrash(rng() % Upstreams * 1000 + crashedUpstreams, running);
             }
-            for (const auto digest : innocents) {
-                refusedInnocents += table.check(digest) == SuspectVerdict::Poison;
+            for (const auto digest : harmlessRequests) {
+                refusedHarmless += table.check(digest) == SuspectVerdict::Poison;
                 table.noteAnswered(digest);
             }
             for (const auto &sibling : tables)
                 sibling->merge(table.records(64));
         }
-        worst = std::max(worst, lost);
-        CHECK(refusedInnocents == 0);
+        maxCrashedUpstreams = std::max(maxCrashedUpstreams, crashedUpstreams);
+        CHECK(refusedHarmless == 0);
         CHECK(tables.front()->check(Poison) == SuspectVerdict::Poison);
         clock.advance(11min);
         CHECK(tables.front()->check(Poison) == SuspectVerdict::Clear);
     }
-    CHECK(worst == SuspectSettings {}.crashLimit);
+    CHECK(maxCrashedUpstreams == SuspectSettings {}.crashLimit);
 }
 
 TEST_CASE("an answer clears a request of the crashes before it, also at siblings")
@@ -137,16 +137,16 @@
     Core::ManualClock clock;
     SuspectTable table(clock, {});
     SuspectTable sibling(clock, {});
-    const RequestDigest innocent = 5;
-    table.noteCrash(1, std::span(&innocent, 1));
+    const RequestDigest harmlessRequest = 5;
+    table.noteCrash(1, std::span(&harmlessRequest, 1));
     sibling.merge(table.records(10));
-    CHECK(sibling.check(innocent) == SuspectVerdict::Suspect);
+    CHECK(sibling.check(harmlessRequest) == SuspectVerdict::Suspect);
     clock.advance(1s);
-    table.noteAnswered(innocent);
-    CHECK(table.check(innocent) == SuspectVerdict::Clear);
+    table.noteAnswered(harmlessRequest);
+    CHECK(table.check(harmlessRequest) == SuspectVerdict::Clear);
     // The sibling's older record does not bring the crash back.
     table.merge(sibling.records(10));
-    CHECK(table.check(innocent) == SuspectVerdict::Clear);
+    CHECK(table.check(harmlessRequest) == SuspectVerdict::Clear);
     sibling.merge(table.records(10));
-    CHECK(sibling.check(innocent) == SuspectVerdict::Clear);
+    CHECK(sibling.check(harmlessRequest) == SuspectVerdict::Clear);
 }
