--- a/Libraries/LibPlacement/CandidateSet.cpp
+++ b/Libraries/LibPlacement/CandidateSet.cpp
@@ -28,7 +28,7 @@
 }
 
 /// A hash that is surely below all whose logarithm is at least the value.
-std::uint64_t leastHash(float log)
+std::uint64_t hashLowerBound(float log)
 {
     // The stand-in for the logarithm errs by less than this.
     constexpr float Margin = 0.05F;
@@ -48,7 +48,7 @@
         set.m_members.set(slots[i]);
         set.m_seeds.push_back(Core::hash64(table.id(slots[i]).value()));
         set.m_weights.push_back(table.state(slots[i]).weight);
-        set.m_greatestWeight = std::max(set.m_greatestWeight, set.m_weights.back());
+        set.m_maxWeight = std::max(set.m_maxWeight, set.m_weights.back());
     }
     return set;
 }
@@ -62,22 +62,22 @@
     std::size_t n = 0;
     // Hashes below this cannot rank even with the greatest weight, so that most candidates cost
     // one hash and one comparison.
-    std::uint64_t least = 0;
+    std::uint64_t minHash = 0;
     for (std::size_t i = 0; i < m_slots.size(); ++i) {
-        if (mix(key ^ m_seeds[i]) < least)
+        if (mix(key ^ m_seeds[i]) < minHash)
             continue;
-        const auto rank = score(key, i);
-        if (n == count && rank <= scores[n - 1])
+        const auto candidateScore = score(key, i);
+        if (n == count && candidateScore <= scores[n - 1])
             continue;
-        auto at = n < count ? n++ : n - 1;
-        for (; at > 0 && scores[at - 1] < rank; --at) {
-            scores[at] = scores[at - 1];
-            positions[at] = positions[at - 1];
+        auto insertAt = n < count ? n++ : n - 1;
+        for (; insertAt > 0 && scores[insertAt - 1] < candidateScore; --insertAt) {
+            scores[insertAt] = scores[insertAt - 1];
+            positions[insertAt] = positions[insertAt - 1];
         }
-        scores[at] = rank;
-        positions[at] = static_cast<std::uint16_t>(i);
+        scores[insertAt] = candidateScore;
+        positions[insertAt] = static_cast<std::uint16_t>(i);
         if (n == count)
-            least = leastHash(scores[n - 1] * m_greatestWeight);
+            minHash = hashLowerBound(scores[n - 1] * m_maxWeight);
     }
     return n;
 }
@@ -100,8 +100,8 @@
     // Weighted rendezvous: log(u) / weight, with u even in (0, 1).
     constexpr float Scale = 1.0F / 16777216.0F; // 2^-24
     const auto hash = mix(key ^ m_seeds[position]);
-    const auto even = (static_cast<float>(hash >> 40) + 0.5F) * Scale;
-    return fastLog2(even) / m_weights[position];
+    const auto uniform = (static_cast<float>(hash >> 40) + 0.5F) * Scale;
+    return fastLog2(uniform) / m_weights[position];
 }
 
 } // namespace Placement
--- a/Libraries/LibPlacement/CandidateSet.h
+++ b/Libraries/LibPlacement/CandidateSet.h
@@ -41,7 +41,7 @@
     std::vector<std::uint16_t> m_positions;
     std::vector<std::uint64_t> m_seeds;
     std::vector<float> m_weights;
-    float m_greatestWeight = 0;
+    float m_maxWeight = 0;
     std::bitset<MaxUpstreams> m_members;
 };
 
--- a/Libraries/LibPlacement/Placement.cpp
+++ b/Libraries/LibPlacement/Placement.cpp
@@ -10,7 +10,7 @@
 
 /// Sets up to this size are weighed whole; of larger ones, a sample besides holders and preferred
 /// upstreams.
-constexpr std::size_t WholeSetSize = 64;
+constexpr std::size_t MaxFullyEvaluated = 64;
 constexpr std::size_t SampleSize = 16;
 
 /// A block unused for longer than this is ever less likely to be cached still.
@@ -41,13 +41,13 @@
 {
     thread_local Scratch scratch;
     scratch.begin(now());
-    gather(scratch, request, candidates, rng);
+    gatherCandidates(scratch, request, candidates, rng);
 
     const CostTerms *best = nullptr;
     for (std::size_t i = 0; i < scratch.count; ++i) {
-        auto &terms = scratch.weighed[i].terms;
-        terms.expectedCachedTokens = static_cast<std::uint64_t>(scratch.weighed[i].cachedTokens);
-        reckon(terms, request, candidates, scratch.now);
+        auto &terms = scratch.candidates[i].terms;
+        terms.expectedCachedTokens = static_cast<std::uint64_t>(scratch.candidates[i].cachedTokens);
+        computeCost(terms, request, candidates, scratch.now);
         if (!terms.isExcluded && (best == nullptr || terms.total < best->total))
             best = &terms;
     }
@@ -57,11 +57,11 @@
     // Instances with the same stale report must not all pick the same least one.
     const auto limit = best->total + m_settings.nearEqual
                        + std::max(best->total, Seconds(0)) * m_settings.nearEqualShare;
-    std::uint64_t equals = 0;
+    std::uint64_t nearEqualCount = 0;
     const CostTerms *chosen = best;
     for (std::size_t i = 0; m_settings.randomises && i < scratch.count; ++i) {
-        const auto &terms = scratch.weighed[i].terms;
-        if (!terms.isExcluded && terms.total <= limit && rng() % ++equals == 0)
+        const auto &terms = scratch.candidates[i].terms;
+        if (!terms.isExcluded && terms.total <= limit && rng() % ++nearEqualCount == 0)
             chosen = &terms;
     }
 
@@ -82,7 +82,7 @@
 {
     explanation.rows.clear();
     for (std::size_t i = 0; i < scratch.count; ++i) {
-        const auto &terms = scratch.weighed[i].terms;
+        const auto &terms = scratch.candidates[i].terms;
         explanation.rows.push_back({m_upstreams.id(terms.slot), terms});
     }
     std::sort(explanation.rows.begin(), explanation.rows.end(),
@@ -102,12 +102,12 @@
     return std::chrono::duration_cast<IndexTime>(elapsed);
 }
 
-void Placement::gather(Scratch &scratch, const PlacementRequest &request,
-                       const CandidateSet &candidates, std::mt19937_64 &rng) const
+void Placement::gatherCandidates(Scratch &scratch, const PlacementRequest &request,
+                                 const CandidateSet &candidates, std::mt19937_64 &rng) const
 {
     creditBlocks(scratch, request, candidates);
     const auto slots = candidates.slots();
-    if (slots.size() <= WholeSetSize) {
+    if (slots.size() <= MaxFullyEvaluated) {
         for (const auto slot : slots)
             scratch.add(slot);
         return;
@@ -116,7 +116,7 @@
         scratch.add(slots[rng() % slots.size()]);
     // A sample may hit nothing but excluded or gone upstreams.
     const auto isUsable = [&](std::size_t i) {
-        const auto slot = scratch.weighed[i].terms.slot;
+        const auto slot = scratch.candidates[i].terms.slot;
         return m_upstreams.isCurrent(slot, m_upstreams.state(slot).epoch)
                && std::find(request.excluded.begin(), request.excluded.end(), slot)
                       == request.excluded.end();
@@ -165,7 +165,7 @@
     for (const auto &holder : entry.holders) {
         if (!m_upstreams.isCurrent(holder.slot, holder.epoch) || !candidates.contains(holder.slot))
             continue;
-        auto chance = survival(holder.lastUse, scratch.now);
+        auto chance = cachedProbability(holder.lastUse, scratch.now);
         if (scratch.isPreferred(candidates.position(holder.slot)))
             chance = std::max(chance, m_settings.preferredUpstreamPrior);
         scratch.credit(holder.slot, block, chance);
@@ -183,7 +183,7 @@
     return std::max<std::size_t>(1, static_cast<std::size_t>(count));
 }
 
-double Placement::survival(IndexTime lastUse, IndexTime now)
+double Placement::cachedProbability(IndexTime lastUse, IndexTime now)
 {
     constexpr double Fresh = 0.95;
     if (now <= lastUse)
@@ -195,15 +195,15 @@
     return Fresh * std::exp(1 - Seconds(age) / lifetime);
 }
 
-void Placement::reckon(CostTerms &terms, const PlacementRequest &request,
-                       const CandidateSet &candidates, IndexTime now) const
+void Placement::computeCost(CostTerms &terms, const PlacementRequest &request,
+                            const CandidateSet &candidates, IndexTime now) const
 {
     const auto &state = m_upstreams.state(terms.slot);
     terms.epoch = state.epoch.load(std::memory_order_acquire);
     const auto excluded = request.excluded;
     terms.isExcluded = !m_upstreams.isCurrent(terms.slot, terms.epoch)
                        || std::find(excluded.begin(), excluded.end(), terms.slot) != excluded.end();
-    const auto missed = request.blocks.promptTokens() - terms.expectedCachedTokens;
+    const auto uncachedTokens = request.blocks.promptTokens() - terms.expectedCachedTokens;
     if (m_settings.usesSlowness) {
         terms.slowness = slowness(state, now);
         terms.stall = stall(state, now);
@@ -211,7 +211,7 @@
     // A slow upstream also works its queue off more slowly.
     const double rate = state.prefillTokensPerSecond / terms.slowness;
     terms.queueWait = queueWait(state, rate, now);
-    terms.prefill = Seconds(static_cast<double>(missed) / rate);
+    terms.prefill = Seconds(static_cast<double>(uncachedTokens) / rate);
     if (!request.preference.empty())
         terms.preference = request.preference[candidates.position(terms.slot)];
     terms.total =
@@ -223,23 +223,23 @@
     const IndexTime reportedAt(state.reportedAt.load(std::memory_order_relaxed));
     const Seconds age = now - std::min(reportedAt, now);
     RecentSends::Sum sent;
-    double siblings = 1;
+    double siblingFactor = 1;
     if (m_settings.usesOwnSends) {
         sent = state.sends.since(reportedAt, now);
-        const auto others = m_instances.load(std::memory_order_relaxed) - 1;
-        siblings += m_settings.siblingShare * static_cast<double>(others);
+        const auto otherInstances = m_instances.load(std::memory_order_relaxed) - 1;
+        siblingFactor += m_settings.siblingShare * static_cast<double>(otherInstances);
     }
     const auto reported =
         static_cast<double>(state.pendingPrefillTokens.load(std::memory_order_relaxed));
-    const double pending =
-        std::max(0.0, reported + static_cast<double>(sent.tokens) * siblings - age.count() * rate);
+    const double pending = std::max(0.0, reported + static_cast<double>(sent.tokens) * siblingFactor
+                                             - age.count() * rate);
     const double requests = state.running.load(std::memory_order_relaxed)
                             + state.queued.load(std::memory_order_relaxed)
-                            + sent.requests * siblings;
+                            + sent.requests * siblingFactor;
     const double slots = state.slots.load(std::memory_order_relaxed);
-    const auto over = std::max(0.0, requests + 1 - slots);
-    const Seconds service(m_secondsPerRequest.load(std::memory_order_relaxed));
-    return Seconds(pending / rate) + service * (over / slots);
+    const auto excessRequests = std::max(0.0, requests + 1 - slots);
+    const Seconds serviceTime(m_secondsPerRequest.load(std::memory_order_relaxed));
+    return Seconds(pending / rate) + serviceTime * (excessRequests / slots);
 }
 
 } // namespace Placement
--- a/Libraries/LibPlacement/Placement.h
+++ b/Libraries/LibPlacement/Placement.h
@@ -90,7 +90,7 @@
 /// One entry of the prefix-cache index to hand to a sibling.
 struct FrequentPrefix
 {
-    struct At
+    struct Location
     {
         Core::UpstreamId upstream;
         std::uint64_t incarnation = 0;
@@ -99,7 +99,7 @@
     BlockHash block = 0;
     /// Requests, decayed; comparable between instances.
     float decayedRequests = 0;
-    std::vector<At> holders;
+    std::vector<Location> holders;
 };
 
 /// Chooses upstreams by the least expected time to first token. All functions may be called from
@@ -161,8 +161,8 @@
 
     IndexTime now() const;
     /// Gathers candidates: expected holders, preferred upstreams, and all or a sample of the rest.
-    void gather(Scratch &scratch, const PlacementRequest &request, const CandidateSet &candidates,
-                std::mt19937_64 &rng) const;
+    void gatherCandidates(Scratch &scratch, const PlacementRequest &request,
+                          const CandidateSet &candidates, std::mt19937_64 &rng) const;
     /// Adds what the holders and preferred upstreams of each block are expected to have cached.
     void creditBlocks(Scratch &scratch, const PlacementRequest &request,
                       const CandidateSet &candidates) const;
@@ -172,15 +172,15 @@
     /// Preferred upstreams that a prefix with this many own requests a second should have.
     std::size_t preferredUpstreamCount(double rate) const;
     /// The chance that a block last used then is still cached.
-    static double survival(IndexTime lastUse, IndexTime now);
+    static double cachedProbability(IndexTime lastUse, IndexTime now);
     /// Fills in every term but the cached tokens, which must stand.
-    void reckon(CostTerms &terms, const PlacementRequest &request, const CandidateSet &candidates,
-                IndexTime now) const;
+    void computeCost(CostTerms &terms, const PlacementRequest &request,
+                     const CandidateSet &candidates, IndexTime now) const;
     /// Time until the upstream gets to a request sent now: its last report, what was sent since,
     /// less what it has worked off at the rate (tokens a second).
     Seconds queueWait(const UpstreamState &state, double rate, IndexTime now) const;
     /// Adjusts how many times longer than reckoned the upstream takes.
-    void learnSlowness(const Decision &decision, UpstreamState &state, IndexTime now);
+    void updateSlowness(const Decision &decision, UpstreamState &state, IndexTime now);
     /// The present factor for an upstream that answers late.
     static double slowness(const UpstreamState &state, IndexTime now);
     /// Time without progress on own requests, beyond a grace.
@@ -198,7 +198,7 @@
     std::atomic<float> m_prefillPerRequest {0.1F};
     std::atomic<float> m_secondsPerRequest {2};
     /// How many times longer than reckoned first tokens take over all upstreams.
-    std::atomic<float> m_usualLateness {1};
+    std::atomic<float> m_averageLateness {1};
 };
 
 } // namespace Placement
--- a/Libraries/LibPlacement/PlacementNotes.cpp
+++ b/Libraries/LibPlacement/PlacementNotes.cpp
@@ -8,24 +8,24 @@
 namespace {
 
 /// Share of a new sample in a moving average.
-constexpr float AverageShare = 0.05F;
+constexpr float SampleWeight = 0.05F;
 /// Slowness halves its distance from one in this time without a new sample.
 constexpr Seconds SlownessHalfLife {5.0};
 constexpr float MaxSlowness = 20;
 /// A first token this late is no sign of a stall yet.
 constexpr Seconds StallGrace {1.0};
 
-void average(std::atomic<float> &value, float sample)
+void updateAverage(std::atomic<float> &value, float sample)
 {
-    const auto before = value.load(std::memory_order_relaxed);
-    value.store(before + (sample - before) * AverageShare, std::memory_order_relaxed);
+    const auto previous = value.load(std::memory_order_relaxed);
+    value.store(previous + (sample - previous) * SampleWeight, std::memory_order_relaxed);
 }
 
 void decrement(std::atomic<std::uint32_t> &value)
 {
-    auto before = value.load(std::memory_order_relaxed);
-    while (before != 0
-           && !value.compare_exchange_weak(before, before - 1, std::memory_order_relaxed)) { }
+    auto previous = value.load(std::memory_order_relaxed);
+    while (previous != 0
+           && !value.compare_exchange_weak(previous, previous - 1, std::memory_order_relaxed)) { }
 }
 
 } // namespace
@@ -54,8 +54,8 @@
         return;
     const auto time = now();
     auto &state = m_upstreams.state(decision.slot);
-    const auto missed = blocks.promptTokens() - decision.expectedCachedTokens;
-    state.sends.add(time, missed);
+    const auto uncachedTokens = blocks.promptTokens() - decision.expectedCachedTokens;
+    state.sends.add(time, uncachedTokens);
     if (state.waiting.fetch_add(1, std::memory_order_relaxed) == 0)
         state.progressAt.store(time.count(), std::memory_order_relaxed);
     for (const auto hash : blocks.hashes())
@@ -71,7 +71,7 @@
     auto &state = m_upstreams.state(decision.slot);
     decrement(state.waiting);
     state.progressAt.store(time.count(), std::memory_order_relaxed);
-    learnSlowness(decision, state, time);
+    updateSlowness(decision, state, time);
     if (cachedTokens)
         noteCachedTokens(decision, blocks, *cachedTokens);
     // The prefill just done left every block in the cache.
@@ -84,15 +84,17 @@
 {
     if (!m_upstreams.isCurrent(decision.slot, decision.epoch))
         return;
-    const auto missed = blocks.promptTokens() - std::min(blocks.promptTokens(), cachedTokens);
+    const auto uncachedTokens =
+        blocks.promptTokens() - std::min(blocks.promptTokens(), cachedTokens);
     const auto &state = m_upstreams.state(decision.slot);
-    average(m_prefillPerRequest, static_cast<float>(missed) / state.prefillTokensPerSecond);
+    updateAverage(m_prefillPerRequest,
+                  static_cast<float>(uncachedTokens) / state.prefillTokensPerSecond);
 }
 
 void Placement::noteAnswer(const Decision &decision)
 {
-    const Seconds taken = m_clock.now() - decision.sentAt;
-    average(m_secondsPerRequest, static_cast<float>(taken.count()));
+    const Seconds elapsed = m_clock.now() - decision.sentAt;
+    updateAverage(m_secondsPerRequest, static_cast<float>(elapsed.count()));
 }
 
 void Placement::noteFailed(const Decision &decision)
@@ -139,24 +141,25 @@
 Placement::exportFrequentPrefixes(std::size_t limit, std::chrono::milliseconds within) const
 {
     const auto time = now();
-    std::vector<PrefixCacheEntry> hot;
+    std::vector<PrefixCacheEntry> frequent;
     const auto isRecent = [&](IndexTime use) { return time - std::min(time, use) <= within; };
     m_prefixIndex.forEach([&](const PrefixCacheEntry &entry) {
         if (isRecent(entry.usedAt))
-            hot.push_back(entry);
+            frequent.push_back(entry);
     });
-    const auto count = std::min(limit, hot.size());
-    std::partial_sort(hot.begin(), hot.begin() + static_cast<std::ptrdiff_t>(count), hot.end(),
+    const auto count = std::min(limit, frequent.size());
+    std::partial_sort(frequent.begin(), frequent.begin() + static_cast<std::ptrdiff_t>(count),
+                      frequent.end(),
                       [time](const PrefixCacheEntry &left, const PrefixCacheEntry &right) {
                           const auto first = left.rate(time);
                           const auto second = right.rate(time);
                           return first != second ? first > second : left.block < right.block;
                       });
-    hot.resize(count);
+    frequent.resize(count);
 
     std::vector<FrequentPrefix> exported;
     exported.reserve(count);
-    for (const auto &entry : hot) {
+    for (const auto &entry : frequent) {
         FrequentPrefix out {entry.block, entry.decayedRequestsNow(time), {}};
         for (const auto &holder : entry.holders) {
             if (!m_upstreams.isCurrent(holder.slot, holder.epoch) || !isRecent(holder.lastUse))
@@ -191,24 +194,23 @@
     }
 }
 
-void Placement::learnSlowness(const Decision &decision, UpstreamState &state, IndexTime now)
+void Placement::updateSlowness(const Decision &decision, UpstreamState &state, IndexTime now)
 {
     // Reckoned time below this is mostly noise.
-    constexpr Seconds LeastReckoned {0.1};
-    constexpr double SampleShare = 0.3;
+    constexpr Seconds MinExpected {0.1};
+    constexpr double SlownessSampleWeight = 0.3;
     /// Lateness up to this many times the usual is noise.
     constexpr double Tolerance = 1.3;
-    const Seconds taken = m_clock.now() - decision.sentAt;
-    const auto reckoned =
-        std::max(LeastReckoned, decision.terms.queueWait + decision.terms.prefill);
+    const Seconds elapsed = m_clock.now() - decision.sentAt;
+    const auto expected = std::max(MinExpected, decision.terms.queueWait + decision.terms.prefill);
     const auto lateness =
-        std::clamp(taken / reckoned, 1.0 / MaxSlowness, static_cast<double>(MaxSlowness));
-    average(m_usualLateness, static_cast<float>(lateness));
+        std::clamp(elapsed / expected, 1.0 / MaxSlowness, static_cast<double>(MaxSlowness));
+    updateAverage(m_averageLateness, static_cast<float>(lateness));
     // Only an upstream that is late beside the others is slow; when all are late, load is.
-    const double usual = std::max(1.0F, m_usualLateness.load(std::memory_order_relaxed));
-    const auto sample = std::max(1.0, lateness / (usual * Tolerance));
-    const auto before = slowness(state, now);
-    state.slowness.store(static_cast<float>(before + (sample - before) * SampleShare),
+    const double typical = std::max(1.0F, m_averageLateness.load(std::memory_order_relaxed));
+    const auto sample = std::max(1.0, lateness / (typical * Tolerance));
+    const auto previous = slowness(state, now);
+    state.slowness.store(static_cast<float>(previous + (sample - previous) * SlownessSampleWeight),
                          std::memory_order_relaxed);
     state.slownessAt.store(now.count(), std::memory_order_relaxed);
 }
--- a/Libraries/LibPlacement/PlacementScratch.cpp
+++ b/Libraries/LibPlacement/PlacementScratch.cpp
@@ -15,17 +15,17 @@
     }
 }
 
-Weighed *Placement::Scratch::add(UpstreamSlot slot)
+EvaluatedCandidate *Placement::Scratch::add(UpstreamSlot slot)
 {
     if (stamps[slot] == stamp)
-        return &weighed[index[slot]];
-    if (count == weighed.size())
+        return &candidates[index[slot]];
+    if (count == candidates.size())
         return nullptr;
     stamps[slot] = stamp;
     index[slot] = static_cast<std::uint16_t>(count);
-    weighed[count] = {};
-    weighed[count].terms.slot = slot;
-    return &weighed[count++];
+    candidates[count] = {};
+    candidates[count].terms.slot = slot;
+    return &candidates[count++];
 }
 
 void Placement::Scratch::credit(UpstreamSlot slot, std::size_t block, double chance)
--- a/Libraries/LibPlacement/PlacementScratch.h
+++ b/Libraries/LibPlacement/PlacementScratch.h
@@ -5,10 +5,10 @@
 namespace Placement {
 
 /// Candidates weighed in one decision.
-constexpr std::size_t MaxWeighed = 192;
+constexpr std::size_t MaxEvaluatedCandidates = 192;
 
 /// A candidate and how far its cached chain is known.
-struct Weighed
+struct EvaluatedCandidate
 {
     CostTerms terms;
     /// Blocks credited so far; a chain ends at the first block not expected to be cached.
@@ -21,7 +21,7 @@
 /// Working memory of one decision, kept for each thread so that a decision takes no heap memory.
 struct Placement::Scratch
 {
-    std::array<Weighed, MaxWeighed> weighed;
+    std::array<EvaluatedCandidate, MaxEvaluatedCandidates> candidates;
     std::size_t count = 0;
     /// Index into weighed plus one, valid where the stamp is the present one.
     std::array<std::uint16_t, MaxUpstreams> index {};
@@ -34,7 +34,7 @@
     /// Starts a decision.
     void begin(IndexTime time);
     /// The entry of the upstream, added if there is room; null if not.
-    Weighed *add(UpstreamSlot slot);
+    EvaluatedCandidate *add(UpstreamSlot slot);
     /// Credits the block at the index to the upstream if its chain reaches up to it.
     void credit(UpstreamSlot slot, std::size_t block, double chance);
     /// Credits every block up to the index to a preferred upstream of the block.
--- a/Libraries/LibPlacement/PrefixCacheIndex.cpp
+++ b/Libraries/LibPlacement/PrefixCacheIndex.cpp
@@ -9,33 +9,33 @@
 
 /// Decayed requests fall to 1/e in this time. Short, so that a shift of the frequent prefixes shows
 /// in seconds.
-constexpr std::chrono::duration<double> RequestDecay {10.0};
+constexpr std::chrono::duration<double> RequestDecayTime {10.0};
 
 double decayedRequestsAt(const PrefixCacheEntry &entry, IndexTime now)
 {
     if (now <= entry.decayedAt)
         return entry.decayedRequests;
     const std::chrono::duration<double> age = now - entry.decayedAt;
-    return entry.decayedRequests * std::exp(-age / RequestDecay);
+    return entry.decayedRequests * std::exp(-age / RequestDecayTime);
 }
 
 /// The place of the upstream among the holders: its own, a free one, or the least recently used.
-Holder &holderPlace(PrefixCacheEntry &entry, UpstreamSlot slot)
+Holder &findOrReplaceHolder(PrefixCacheEntry &entry, UpstreamSlot slot)
 {
-    Holder *place = entry.holders.data();
+    Holder *target = entry.holders.data();
     for (auto &holder : entry.holders) {
         if (holder.epoch != 0 && holder.slot == slot)
             return holder;
-        if (place->epoch != 0 && (holder.epoch == 0 || holder.lastUse < place->lastUse))
-            place = &holder;
+        if (target->epoch != 0 && (holder.epoch == 0 || holder.lastUse < target->lastUse))
+            target = &holder;
     }
-    *place = {};
-    return *place;
+    *target = {};
+    return *target;
 }
 
 void setHolder(PrefixCacheEntry &entry, UpstreamSlot slot, std::uint32_t epoch, IndexTime lastUse)
 {
-    auto &holder = holderPlace(entry, slot);
+    auto &holder = findOrReplaceHolder(entry, slot);
     const bool isSame = holder.epoch == epoch;
     holder = {slot, epoch, isSame ? std::max(holder.lastUse, lastUse) : lastUse};
 }
@@ -49,14 +49,14 @@
 
 double PrefixCacheEntry::rate(IndexTime now) const
 {
-    return decayedRequestsAt(*this, now) / RequestDecay.count();
+    return decayedRequestsAt(*this, now) / RequestDecayTime.count();
 }
 
 PrefixCacheIndex::PrefixCacheIndex(std::size_t capacity)
-    : m_shards(std::make_unique<Shard[]>(Shards))
+    : m_shards(std::make_unique<Shard[]>(ShardCount))
 {
-    const auto buckets = std::max<std::size_t>(1, capacity / (Shards * BucketSize));
-    for (std::size_t i = 0; i < Shards; ++i)
+    const auto buckets = std::max<std::size_t>(1, capacity / (ShardCount * BucketSize));
+    for (std::size_t i = 0; i < ShardCount; ++i)
         m_shards[i].buckets.resize(buckets);
 }
 
@@ -116,7 +116,7 @@
 
 void PrefixCacheIndex::forEach(const std::function<void(const PrefixCacheEntry &)> &visit) const
 {
-    for (std::size_t i = 0; i < Shards; ++i) {
+    for (std::size_t i = 0; i < ShardCount; ++i) {
         for (std::size_t bucket = 0; bucket < m_shards[i].buckets.size(); ++bucket) {
             Bucket copy;
             {
@@ -143,17 +143,17 @@
 {
     if (auto *found = findIn(bucket, block))
         return *found;
-    const auto coldest =
+    const auto leastRequested =
         std::min_element(bucket.entries.begin(), bucket.entries.end(),
                          [now](const PrefixCacheEntry &left, const PrefixCacheEntry &right) {
                              if ((left.block == 0) != (right.block == 0))
                                  return left.block == 0;
                              return decayedRequestsAt(left, now) < decayedRequestsAt(right, now);
                          });
-    *coldest = {};
-    coldest->block = block;
-    coldest->decayedAt = now;
-    return *coldest;
+    *leastRequested = {};
+    leastRequested->block = block;
+    leastRequested->decayedAt = now;
+    return *leastRequested;
 }
 
 } // namespace Placement
--- a/Libraries/LibPlacement/PrefixCacheIndex.h
+++ b/Libraries/LibPlacement/PrefixCacheIndex.h
@@ -34,7 +34,7 @@
 struct PrefixCacheEntry
 {
     BlockHash block = 0;
-    /// Requests for the block, decaying with RequestDecay.
+    /// Requests for the block, decaying with RequestDecayTime.
     float decayedRequests = 0;
     IndexTime decayedAt {0};
     /// When this instance itself last sent a request for the block.
@@ -70,7 +70,7 @@
     void forEach(const std::function<void(const PrefixCacheEntry &)> &visit) const;
 
 private:
-    static constexpr std::size_t Shards = 64;
+    static constexpr std::size_t ShardCount = 64;
     static constexpr std::size_t BucketSize = 8;
 
     struct Bucket
@@ -83,11 +83,11 @@
         std::vector<Bucket> buckets;
     };
 
-    Shard &shardOf(BlockHash block) const { return m_shards[block % Shards]; }
+    Shard &shardOf(BlockHash block) const { return m_shards[block % ShardCount]; }
     /// The bucket of the block in its shard.
     Bucket &bucketOf(Shard &shard, BlockHash block) const
     {
-        return shard.buckets[(block / Shards) % shard.buckets.size()];
+        return shard.buckets[(block / ShardCount) % shard.buckets.size()];
     }
     /// The entry of the block in the bucket, or null.
     static PrefixCacheEntry *findIn(Bucket &bucket, BlockHash block);
--- a/Libraries/LibPlacement/UpstreamTable.cpp
+++ b/Libraries/LibPlacement/UpstreamTable.cpp
@@ -23,7 +23,7 @@
 void RecentSends::add(IndexTime now, std::uint64_t tokens)
 {
     const std::uint64_t number = (now.count() / BucketMilliseconds) & NumberMask;
-    auto &bucket = m_buckets[number % Buckets];
+    auto &bucket = m_buckets[number % BucketCount];
     tokens = std::min(tokens, TokenMask / 2);
     const auto added = (1ULL << TokenBits) + tokens;
     auto word = bucket.load(std::memory_order_relaxed);
@@ -40,11 +40,11 @@
 {
     const std::uint64_t last = now.count() / BucketMilliseconds;
     std::uint64_t first = time.count() / BucketMilliseconds;
-    if (last >= Buckets && first <= last - Buckets)
-        first = last - Buckets + 1;
+    if (last >= BucketCount && first <= last - BucketCount)
+        first = last - BucketCount + 1;
     Sum sum;
     for (auto number = first; number <= last; ++number) {
-        const auto word = m_buckets[number % Buckets].load(std::memory_order_relaxed);
+        const auto word = m_buckets[number % BucketCount].load(std::memory_order_relaxed);
         if (bucketNumber(word) != (number & NumberMask))
             continue;
         sum.tokens += word & TokenMask;
@@ -78,8 +78,9 @@
     state.prefillTokensPerSecond = static_cast<float>(view.prefillTokensPerSecond);
     state.slots = std::max<std::uint32_t>(1, view.slots);
     const auto epoch = state.epoch.load();
-    const bool isGone = epoch == 0 || epoch % 2 == 1;
-    if (view.incarnation > state.incarnation || (isGone && view.incarnation == state.incarnation)) {
+    const bool isRemoved = epoch == 0 || epoch % 2 == 1;
+    if (view.incarnation > state.incarnation
+        || (isRemoved && view.incarnation == state.incarnation)) {
         state.incarnation = view.incarnation;
         startEpoch(state);
     }
--- a/Libraries/LibPlacement/UpstreamTable.h
+++ b/Libraries/LibPlacement/UpstreamTable.h
@@ -58,9 +58,9 @@
 
 private:
     static constexpr std::uint32_t BucketMilliseconds = 100;
-    static constexpr std::size_t Buckets = 32;
+    static constexpr std::size_t BucketCount = 32;
     // Bucket number (24 bits), requests (12 bits), tokens (28 bits).
-    std::array<std::atomic<std::uint64_t>, Buckets> m_buckets {};
+    std::array<std::atomic<std::uint64_t>, BucketCount> m_buckets {};
 };
 
 /// The present state of one upstream. Every field is read and written by several threads.
--- a/Tests/LibPlacement/TestCandidateSet.cpp
+++ b/Tests/LibPlacement/TestCandidateSet.cpp
@@ -33,12 +33,13 @@
 {
     UpstreamTable first;
     UpstreamTable second;
-    const auto here = makeSet(first, {"a", "b", "c", "d"});
-    const auto there = makeSet(second, {"d", "b", "a", "c"});
+    const auto firstSet = makeSet(first, {"a", "b", "c", "d"});
+    const auto secondSet = makeSet(second, {"d", "b", "a", "c"});
     std::mt19937_64 rng(5);
     for (int i = 0; i < 1000; ++i) {
         const auto key = rng();
-        REQUIRE(preferredUpstreamOf(here, first, key) == preferredUpstreamOf(there, second, key));
+        REQUIRE(preferredUpstreamOf(firstSet, first, key)
+                == preferredUpstreamOf(secondSet, second, key));
     }
 }
 
--- a/Tests/LibPlacement/TestPlacement.cpp
+++ b/Tests/LibPlacement/TestPlacement.cpp
@@ -118,15 +118,15 @@
 
 TEST_CASE("a sibling that takes the hot beliefs over chooses alike")
 {
-    Fixture warm(12);
-    auto first = warm.choose({warm.blocks, {}, {}});
-    warm.placement.noteSent(*first, warm.blocks);
-    warm.placement.noteFirstToken(*first, warm.blocks, 0);
-    const auto hot = warm.placement.exportFrequentPrefixes(3);
-    REQUIRE(hot.size() == 3);
-    Fixture fresh(12);
-    fresh.placement.importFrequentPrefixes(warm.placement.exportFrequentPrefixes(100));
-    const auto decision = fresh.choose({fresh.blocks, {}, {}});
+    Fixture warmFixture(12);
+    auto first = warmFixture.choose({warmFixture.blocks, {}, {}});
+    warmFixture.placement.noteSent(*first, warmFixture.blocks);
+    warmFixture.placement.noteFirstToken(*first, warmFixture.blocks, 0);
+    const auto frequent = warmFixture.placement.exportFrequentPrefixes(3);
+    REQUIRE(frequent.size() == 3);
+    Fixture coldFixture(12);
+    coldFixture.placement.importFrequentPrefixes(warmFixture.placement.exportFrequentPrefixes(100));
+    const auto decision = coldFixture.choose({coldFixture.blocks, {}, {}});
     CHECK(decision->slot == first->slot);
     CHECK(decision->expectedCachedTokens > 3 * BlockTokens);
 }
--- a/Tests/LibPlacement/TestPrefixCacheIsolation.cpp
+++ b/Tests/LibPlacement/TestPrefixCacheIsolation.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t Engines = 5;
 
 /// A cache event on its way.
-struct LateEvent
+struct DelayedEvent
 {
     UpstreamSlot slot;
     std::uint64_t incarnation;
@@ -21,10 +21,10 @@
 };
 
 /// Engines that crash, and one instance's knowledge of them, told late, out of order and in part.
-class History
+class CacheHistory
 {
 public:
-    explicit History(std::uint64_t seed)
+    explicit CacheHistory(std::uint64_t seed)
         : m_rng(seed)
     {
         PlacementSettings settings;
@@ -33,7 +33,7 @@
         m_placement = std::make_unique<::Placement::Placement>(m_clock, settings);
         for (std::size_t i = 0; i < Engines; ++i)
             m_slots.push_back(m_placement->noteUpstream({Core::UpstreamId(std::to_string(i)), 1}));
-        m_ever.resize(Engines);
+        m_storedPrefixes.resize(Engines);
         m_incarnations.assign(Engines, 1);
     }
 
@@ -57,7 +57,7 @@
     void crash(std::size_t engine)
     {
         ++m_incarnations[engine];
-        m_ever[engine].clear();
+        m_storedPrefixes[engine].clear();
         m_placement->noteIncarnation(m_slots[engine], m_incarnations[engine]);
         if (m_rng() % 4 == 0) {
             m_placement->noteGone(m_slots[engine]);
@@ -93,23 +93,23 @@
         REQUIRE(decision->incarnation == m_incarnations[engine]);
         // What was stored is kept by scope and text, so that a hash shared by two scopes shows.
         const auto name = scope.team.value() + "/" + scope.weightsVersion + "/" + text[0];
-        const auto possible = m_ever[engine].contains(name) ? 2 * BlockTokens : 0;
+        const auto maxCachedTokens = m_storedPrefixes[engine].contains(name) ? 2 * BlockTokens : 0;
         // What this incarnation ever stored bounds what may be counted on.
-        REQUIRE(decision->expectedCachedTokens <= possible);
+        REQUIRE(decision->expectedCachedTokens <= maxCachedTokens);
 
         m_placement->noteSent(*decision, blocks);
-        m_ever[engine].insert(name);
+        m_storedPrefixes[engine].insert(name);
         for (const auto block : blocks.hashes())
             m_events.push_back({engine, m_incarnations[engine], block, m_rng() % 4 != 0});
         if (m_rng() % 3 == 0)
-            m_late.emplace_back(*decision, blocks);
+            m_delayedAnswers.emplace_back(*decision, blocks);
         else
             m_placement->noteFirstToken(*decision, blocks, 0);
         // Answers of dead incarnations come too.
-        if (!m_late.empty() && m_rng() % 2 == 0) {
-            const auto [old, oldPieces] = m_late.back();
-            m_late.pop_back();
-            m_placement->noteFirstToken(old, oldPieces, oldPieces.promptTokens());
+        if (!m_delayedAnswers.empty() && m_rng() % 2 == 0) {
+            const auto [old, oldBlocks] = m_delayedAnswers.back();
+            m_delayedAnswers.pop_back();
+            m_placement->noteFirstToken(old, oldBlocks, oldBlocks.promptTokens());
         }
     }
 
@@ -118,9 +118,9 @@
     std::unique_ptr<::Placement::Placement> m_placement;
     std::vector<UpstreamSlot> m_slots;
     std::vector<std::uint64_t> m_incarnations;
-    std::vector<std::set<std::string>> m_ever;
-    std::vector<LateEvent> m_events;
-    std::vector<std::pair<Decision, PromptBlocks>> m_late;
+    std::vector<std::set<std::string>> m_storedPrefixes;
+    std::vector<DelayedEvent> m_events;
+    std::vector<std::pair<Decision, PromptBlocks>> m_delayedAnswers;
 };
 
 } // namespace
@@ -129,8 +129,8 @@
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         INFO("seed " << seed);
-        History history(seed);
+        CacheHistory cacheHistory(seed);
         for (int i = 0; i < 300; ++i)
-            history.step();
+            cacheHistory.step();
     }
 }
