--- a/Libraries/LibPlacement/Placement.cpp
+++ b/Libraries/LibPlacement/Placement.cpp
@@ -174,7 +174,7 @@
 
 std::size_t Placement::preferredUpstreamCount(double rate) const
 {
-    if (!m_settings.usesWidth)
+    if (!m_settings.scalesPreferredUpstreams)
         return 1;
     const auto instances = static_cast<double>(m_instances.load(std::memory_order_relaxed));
     const double utilisation =
--- a/Libraries/LibPlacement/Placement.h
+++ b/Libraries/LibPlacement/Placement.h
@@ -14,7 +14,7 @@
     std::size_t prefixIndexCapacity = 65536;
     bool usesPrefixIndex = true;
     bool usesPreferredUpstreams = true;
-    bool usesWidth = true;
+    bool scalesPreferredUpstreams = true;
     bool usesOwnSends = true;
     bool usesSlowness = true;
     bool usesCacheEvents = true;
@@ -115,7 +115,7 @@
     /// A newer incarnation voids everything believed of the upstream; an older one is ignored.
     void noteIncarnation(UpstreamSlot slot, std::uint64_t incarnation);
     /// Voids everything believed of the upstream until noteUpstream() names it again.
-    void noteGone(UpstreamSlot slot) { m_upstreams.remove(slot); }
+    void noteRemoved(UpstreamSlot slot) { m_upstreams.remove(slot); }
     /// How many instances share the upstreams, this one included.
     void noteInstanceCount(std::size_t count) { m_instances = std::max<std::size_t>(1, count); }
     /// The set to pass to choose(), for upstreams that noteUpstream() numbered.
--- a/Libraries/LibRouter/UpstreamDirectory.cpp
+++ b/Libraries/LibRouter/UpstreamDirectory.cpp
@@ -37,7 +37,7 @@
         if (upstream->noteLeaving() && m_hooks.leaving)
             m_hooks.leaving(upstream);
         if (next == listedNow.end())
-            m_placement.noteGone(upstream->slot());
+            m_placement.noteRemoved(upstream->slot());
     }
     addCandidates(*groups);
     m_known = std::move(listedNow);
--- a/Tests/LibPlacement/TestPlacement.cpp
+++ b/Tests/LibPlacement/TestPlacement.cpp
@@ -63,10 +63,10 @@
 {
     Fixture fixture(3);
     const std::array tried {fixture.slots[0]};
-    fixture.placement.noteGone(fixture.slots[1]);
+    fixture.placement.noteRemoved(fixture.slots[1]);
     for (int i = 0; i < 20; ++i)
         REQUIRE(fixture.choose({fixture.blocks, {}, tried})->slot == fixture.slots[2]);
-    fixture.placement.noteGone(fixture.slots[2]);
+    fixture.placement.noteRemoved(fixture.slots[2]);
     CHECK_FALSE(fixture.choose({fixture.blocks, {}, tried}));
 }
 
--- a/Tests/LibPlacement/TestPrefixCacheIsolation.cpp
+++ b/Tests/LibPlacement/TestPrefixCacheIsolation.cpp
@@ -60,7 +60,7 @@
         m_storedPrefixes[engine].clear();
         m_placement->noteIncarnation(m_slots[engine], m_incarnations[engine]);
         if (m_rng() % 4 == 0) {
-            m_placement->noteGone(m_slots[engine]);
+            m_placement->noteRemoved(m_slots[engine]);
             m_placement->noteUpstream(
                 {Core::UpstreamId(std::to_string(engine)), m_incarnations[engine]});
         }
--- a/Utilities/jujubebench/OurPolicy.cpp
+++ b/Utilities/jujubebench/OurPolicy.cpp
@@ -36,7 +36,7 @@
         {"placement", [](auto &) {}},
         {"no-beliefs", [](auto &settings) { settings.usesPrefixIndex = false; }},
         {"no-homes", [](auto &settings) { settings.usesPreferredUpstreams = false; }},
-        {"no-width", [](auto &settings) { settings.usesWidth = false; }},
+        {"no-width", [](auto &settings) { settings.scalesPreferredUpstreams = false; }},
         {"no-own-sends", [](auto &settings) { settings.usesOwnSends = false; }},
         {"no-slowness", [](auto &settings) { settings.usesSlowness = false; }},
         {"no-cache-events", [](auto &settings) { settings.usesCacheEvents = false; }},
@@ -142,7 +142,7 @@
         if (it != instance.decisions.end())
             instance.placement->noteFailed(it->second);
         instance.decisions.erase(item.id);
-        instance.placement->noteGone(static_cast<UpstreamSlot>(engine));
+        instance.placement->noteRemoved(static_cast<UpstreamSlot>(engine));
     }
     void loadReport(std::size_t index, std::size_t engine, const EngineLoad &load) override
     {
