--- a/Libraries/LibAdmission/Controller.cpp
+++ b/Libraries/LibAdmission/Controller.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Shares that add up to the whole may miss 1 by rounding.
+/// Tolerance for rounding errors when shares that add up to 1 are summed.
 constexpr double ShareTolerance = 1e-9;
 
 std::optional<Core::Error> findPolicyError(const Policy &policy)
@@ -178,7 +178,7 @@
     const auto sibling = noteReceived(report);
     if (!sibling)
         return;
-    // Leases and acknowledgements for an earlier life of this instance mean nothing to this one.
+    // Leases and acknowledgements addressed to an earlier incarnation of this instance are void.
     const bool isForThisIncarnation = report.receiverIncarnation == m_identity.incarnation;
     const auto sent = [&](const ShareReport &share) {
         return share.lease ? sentTime(*sibling, share.lease->answers) : Core::Clock::Monotonic();
--- a/Libraries/LibAdmission/Controller.h
+++ b/Libraries/LibAdmission/Controller.h
@@ -16,55 +16,59 @@
 
 namespace Admission {
 
-/// Who this instance is among its siblings.
+/// Identifies this instance and its current incarnation to its siblings.
 struct Identity
 {
     Core::InstanceId instance;
     std::uint64_t incarnation = 0;
 };
 
-/// Decides which requests may be sent to the upstream groups, in which order and when not at all.
-/// Groups are independent of each other; a decision takes one group's lock. Every function is safe
-/// from any thread. Hooks run in the thread of the call that brought the decision about, after all
-/// locks are released, and may call back.
+/// Decides which requests are sent to the upstream groups, in which order, and which are refused.
+/// Groups are independent of each other: a decision takes the lock of one group only. All functions
+/// are thread-safe. Hooks run on the thread whose call led to the decision, after all locks have
+/// been released, and may call the controller again.
 class Controller
 {
 public:
-    /// The clock must outlive the controller. Errors: ConfigurationInvalid when shares of a group
-    /// add up to more than the whole.
+    /// Creates a controller. The clock must outlive it. Fails with ConfigurationInvalid if the
+    /// shares of a group add up to more than 1.
     static Core::Result<std::unique_ptr<Controller>> create(const Core::Clock &clock,
                                                             Identity identity, const Policy &policy,
                                                             PreemptionHook preempt = {});
 
-    /// Puts other rules in force. Running requests go on; groups keep their numbers.
+    /// Replaces the policy. Running requests continue, and groups keep their indexes. Fails with
+    /// ConfigurationInvalid like create().
     Core::Result<void> configure(const Policy &policy);
-    /// Sets how many requests the live upstreams of a group run at once.
+    /// Sets how many requests the group's live upstreams can run concurrently.
     void setSlots(const Core::UpstreamGroupId &group, std::uint32_t slots);
-    /// Sets the instances that share the same upstreams, this one included, as the platform's list
-    /// has them. Own suspicion must not take an instance out, or safe shares would overlap while a
-    /// cut lasts. While instances have different lists, the safe shares can add up to more than
-    /// the whole, by one share for each instance that some have not heard of.
+    /// Sets the instances that share the same upstreams, including this one, as listed by the
+    /// platform. An instance must not be left out because this instance merely suspects it of
+    /// having failed; otherwise safe shares would overlap during a network partition. While
+    /// instances have different lists, the safe shares can exceed the total by one share for each
+    /// instance that is missing from some of the lists.
     void setSiblings(std::span<const Core::InstanceId> instances);
 
-    /// Submits a request. The hook may be called before this returns.
+    /// Submits a request. The hook may be called before this function returns.
     TicketId submit(Ticket ticket, DecisionHook hook);
-    /// The first token of a granted request came. What requests take beyond their expectation is
-    /// learned from it, so that early refusal knows the upstreams' own queues.
+    /// Records the first token of a granted request. The delay beyond the ticket's estimate is
+    /// averaged, so that early rejection accounts for queues inside the upstreams.
     void noteFirstToken(TicketId id);
-    /// Ends a granted request, with the tokens that its upstream computed and generated.
+    /// Ends a granted request. `usedTokens` is the number of tokens that its upstream computed and
+    /// generated.
     void release(TicketId id, std::uint64_t usedTokens);
-    /// Drops a waiting request. When this returns true, its hook is not called any more.
+    /// Removes a waiting request. Returns true if it was waiting; its hook is then never called.
     bool withdraw(TicketId id);
-    /// Refuses late work and renews shares. Call every 50 to 200 ms, from one thread
-    /// at a time.
+    /// Refuses requests that can no longer meet their deadline, updates the lending plans and hands
+    /// out free slots. Must be called every 50 to 200 ms, from one thread at a time.
     void tick();
 
-    /// What to send to the sibling now. Call for each sibling after tick().
+    /// Builds the next report for the sibling. Must be called for each sibling after tick().
     SiblingReport report(const Core::InstanceId &sibling);
-    /// Takes a sibling's report. Doubled, late and foreign ones are passed over.
+    /// Applies a sibling's report. Ignores duplicates, reports older than the latest one applied
+    /// and this instance's own reports.
     void applySiblingReport(const SiblingReport &report);
 
-    /// Figures of one group; zeros for an unknown one.
+    /// Returns the status of a group; all zeros if the group is unknown.
     GroupStatus status(const Core::UpstreamGroupId &group) const;
 
 private:
@@ -73,7 +77,7 @@
         std::unordered_map<Core::UpstreamGroupId, std::uint32_t> indexes;
         std::vector<std::shared_ptr<GroupAdmission>> groups;
     };
-    /// Reports to a sibling of which the sending time is known.
+    /// The number of recent reports to each sibling whose send times are kept.
     static constexpr std::size_t MaxTrackedReports = 64;
     struct SentReport
     {
@@ -93,7 +97,8 @@
     std::vector<std::shared_ptr<GroupAdmission>> allGroups() const;
     void deliver(GroupActions actions);
     void forgetSibling(const Core::InstanceId &sibling);
-    /// Notes a report as received. Empty when it is to be passed over.
+    /// Records a report as received and returns the updated state of its sender, or nothing if the
+    /// report must be ignored.
     std::optional<Sibling> noteReceived(const SiblingReport &report);
     static Core::Clock::Monotonic sentTime(const Sibling &sibling, std::uint64_t sequence);
 
--- a/Libraries/LibAdmission/DelayEstimate.cpp
+++ b/Libraries/LibAdmission/DelayEstimate.cpp
@@ -6,8 +6,11 @@
 namespace Admission {
 
 namespace {
+/// Weight of a new sample in the moving averages.
 constexpr double Gain = 0.05;
+/// Factor applied to the averages at each call to decay() without a new sample.
 constexpr double DecayFactor = 0.95;
+/// The margin of the estimate, as a multiple of the spread.
 constexpr double MarginSpreads = 2;
 } // namespace
 
--- a/Libraries/LibAdmission/DelayEstimate.h
+++ b/Libraries/LibAdmission/DelayEstimate.h
@@ -4,16 +4,16 @@
 
 namespace Admission {
 
-/// How much later than expected first tokens come, and how much that varies, as moving averages.
+/// Moving averages of the delay of first tokens beyond their estimate and of its mean deviation.
 class DelayEstimate
 {
 public:
-    /// One first token came this much after it was expected; negative when it came before.
+    /// Adds the delay of one first token; negative if the token was earlier than estimated.
     void addSample(std::chrono::duration<double> delay);
-    /// Lets the estimate fade unless something was noted since the last call, so that work which
-    /// is refused altogether is tried again. Call at a steady pace.
+    /// Reduces the estimate unless a sample was added since the last call, so that a class whose
+    /// requests are all refused is eventually tried again. Must be called at regular intervals.
     void decay();
-    /// The mean and a margin for the spread; never negative.
+    /// Returns the mean delay plus a margin for its spread; never negative.
     std::chrono::microseconds withMargin() const;
 
 private:
--- a/Libraries/LibAdmission/FairShare.cpp
+++ b/Libraries/LibAdmission/FairShare.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Demand and allocation of every class and team of a group, summed over the instances.
+/// The demand and the allocation of a group by class and team, summed over all instances. Each
+/// combination of a class and a team is one cell.
 class Allocation
 {
 public:
@@ -29,7 +30,8 @@
         }
     }
 
-    /// The position of a demand's class and team; past the end when the policy has no such pair.
+    /// Returns the cell of the demand's class and team, or cellCount() if the policy does not have
+    /// them.
     std::size_t cellOf(const TeamDemand &demand) const
     {
         const auto team = m_teams.find(demand.team);
@@ -61,7 +63,7 @@
             allocate(n, m_remaining, true);
     }
 
-    /// Slots given at one position.
+    /// Returns the number of slots allocated to a cell.
     double allocated(std::size_t cell) const { return m_allocated[cell]; }
     std::size_t cellCount() const { return m_allocated.size(); }
 
@@ -138,7 +140,7 @@
     allocation.allocateBorrowed();
     const auto instances = demandByInstance.size();
     const auto teams = policy.teams.size();
-    // What each instance asks for of each class and team.
+    // The demand of each instance in each cell.
     std::vector<std::vector<Claimant>> claimantsByCell(allocation.cellCount(),
                                                        std::vector<Claimant>(instances));
     for (std::size_t n = 0; n < instances; ++n) {
@@ -153,8 +155,9 @@
     std::vector<double> firstInstanceSlots(teams, 0);
     std::vector<double> totalSlots(teams, 0);
     for (std::size_t cell = 0; cell < claimantsByCell.size(); ++cell) {
-        // Equal weights: in proportion to the demand, an instance that holds more slots would run
-        // more, ask for more and draw ever more of them.
+        // All instances have the same weight. If slots were divided in proportion to demand, an
+        // instance with more slots would run more requests, report a higher demand and so attract
+        // even more slots.
         const auto instanceSlots =
             weightedMaxMin(allocation.allocated(cell), claimantsByCell[cell]);
         for (std::size_t n = 0; n < instances; ++n)
--- a/Libraries/LibAdmission/FairShare.h
+++ b/Libraries/LibAdmission/FairShare.h
@@ -8,19 +8,20 @@
 
 namespace Admission {
 
-/// One claimant on a divisible capacity.
+/// One party that competes for a divisible capacity.
 struct Claimant
 {
     double demand = 0;
     double weight = 1;
 };
 
-/// Weighted max-min shares: no claimant gets more than its demand, and what one leaves is divided
-/// among the others by weight. The result has one share a claimant, of which the sum never exceeds
-/// the capacity.
+/// Computes weighted max-min fair shares. No claimant gets more than its demand, and what it leaves
+/// unused is divided among the others by weight. Returns one share per claimant; the sum of the
+/// shares does not exceed the capacity.
 std::vector<double> weightedMaxMin(double capacity, std::span<const Claimant> claimants);
 
-/// Slots that one team asks for in one class at one instance: running and waiting requests.
+/// The demand of one team in one class at one instance, in slots: the number of its running and
+/// waiting requests.
 struct TeamDemand
 {
     Core::TeamId team;
@@ -28,19 +29,20 @@
     double slots = 0;
 };
 
-/// How a group's slots should be divided among instances.
+/// The fair division of a group's slots among instances.
 struct FairTargets
 {
-    /// Slots each instance should hold.
+    /// The number of slots for each instance.
     std::vector<double> slots;
-    /// Of the slots that each team should get, the part at the first instance, by team position;
-    /// empty for a team without demand.
+    /// The fraction of each team's slots that is at the first instance, by team index; empty for a
+    /// team without demand.
     std::vector<std::optional<double>> firstInstanceFraction;
 };
 
-/// Divides a group's slots for the demand that all instances see, by the rules that admit requests:
-/// class floors first, then each team's own capacity with urgent classes first, then lent capacity
-/// by class and weight. Capacity that nobody asks for is spread evenly.
+/// Divides a group's slots among instances according to the demand at each of them. The order is
+/// the same as for admitting requests: class floors first, then each team's own capacity with the
+/// most urgent class first, then lent capacity by class and weight. Capacity without demand is
+/// divided evenly among the instances.
 FairTargets fairTargets(const GroupPolicy &policy,
                         std::span<const std::vector<TeamDemand>> demandByInstance);
 
--- a/Libraries/LibAdmission/GroupAdmission.cpp
+++ b/Libraries/LibAdmission/GroupAdmission.cpp
@@ -7,19 +7,21 @@
 
 namespace {
 
-/// Demands of one group that a report carries, the largest first.
+/// The maximum number of demands in a report on one group; the largest ones are reported.
 constexpr std::size_t MaxReportedDemands = 64;
-/// Part of a demand that is kept from one tick to the next after it has gone.
+/// Factor by which a reported demand may fall from one tick to the next.
 constexpr double DemandDecay = 0.7;
-/// Part of a team's own capacity that is spread evenly over the instances, wherever its demand was
-/// seen, so that a burst at another instance finds some.
+/// The fraction of a team's own capacity that is divided evenly among the instances regardless of
+/// where its demand is, so that a burst at another instance finds some capacity.
 constexpr double EvenLocalityFraction = 0.25;
-/// The largest part of the share that is kept free of borrowed work.
+/// The largest fraction of the share that is kept free of borrowed work, for teams below their own
+/// capacity.
 constexpr double MaxOwnerReserve = 0.1;
-/// The largest part of the share that is kept free for more urgent classes.
+/// The largest fraction of the share that is kept free for more urgent classes.
 constexpr double MaxClassReserve = 0.05;
+/// A decaying demand below this number of slots is dropped.
 constexpr double MinDemand = 0.5;
-/// A sibling's demand is forgotten when nothing was heard of it for this long.
+/// A sibling's demand is discarded when no report has been received from it for this long.
 constexpr std::chrono::milliseconds SiblingTimeout = LeaseDuration;
 
 } // namespace
@@ -251,7 +253,8 @@
     std::vector<std::vector<TeamDemand>> demandByInstance {m_ownDemand};
     for (const auto &[sibling, demand] : m_siblings)
         demandByInstance.push_back(demand.demands);
-    // Siblings that are not heard keep their safe shares, so only the others' are divided anew.
+    // Siblings without a recent report keep their safe shares, so only the shares of the other
+    // instances are redistributed.
     auto policy = m_policy;
     const auto knownInstances = std::min<std::size_t>(demandByInstance.size(), m_siblingCount);
     policy.slots = static_cast<std::uint32_t>(policy.slots * knownInstances / m_siblingCount);
--- a/Libraries/LibAdmission/GroupAdmission.h
+++ b/Libraries/LibAdmission/GroupAdmission.h
@@ -12,23 +12,24 @@
 
 namespace Admission {
 
-/// A decision that was made under a lock and is delivered after it.
+/// A decision that was made while a lock was held and is delivered after the lock is released.
 struct PendingDecision
 {
     DecisionHook hook;
     Core::Result<Grant> result;
 };
 
-/// What one call into a group brought about.
+/// The effects of one call to a GroupAdmission, to be delivered by the caller.
 struct GroupActions
 {
     std::vector<PendingDecision> decisions;
     std::vector<TicketId> preemptions;
-    /// The team of each request that is neither waiting nor running any more.
+    /// The team of each request that neither waits nor runs any longer, to be counted out of the
+    /// team limits.
     std::vector<Core::TeamId> endedRequestTeams;
 };
 
-/// Figures of one group at one instance.
+/// The status of one group at one instance, in slots and requests.
 struct GroupStatus
 {
     std::uint32_t share = 0;
@@ -37,33 +38,36 @@
     std::size_t waiting = 0;
 };
 
-/// Admission to one upstream group at one instance. Every function is safe from any thread; the
-/// caller delivers the returned actions.
+/// Admits requests to one upstream group at one instance. All functions are thread-safe. The caller
+/// must deliver the returned actions.
 class GroupAdmission
 {
 public:
     GroupAdmission(std::uint32_t groupIndex, const GroupPolicy &policy);
 
-    /// Replaces the rules. Waiting requests that the new ones do not allow are refused.
+    /// Replaces the policy. Waiting requests whose team or class the new policy does not have are
+    /// refused.
     GroupActions configure(const GroupPolicy &policy, Core::Clock::Monotonic now);
-    /// Sets how many requests the group's live upstreams run at once.
+    /// Sets how many requests the group's live upstreams can run concurrently.
     GroupActions setSlots(std::uint32_t slots, Core::Clock::Monotonic now);
-    /// Sets this instance's position among its siblings.
+    /// Sets this instance's index among the `count` instances that share the group.
     GroupActions setPosition(std::uint32_t index, std::uint32_t count, Core::Clock::Monotonic now);
 
     GroupActions submit(std::uint64_t number, Ticket ticket, DecisionHook hook,
                         Core::Clock::Monotonic now);
-    /// The first token of a granted request came.
+    /// Records the first token of a granted request.
     void noteFirstToken(std::uint64_t number, Core::Clock::Monotonic now);
     GroupActions release(std::uint64_t number, std::uint64_t usedTokens,
                          Core::Clock::Monotonic now);
-    /// Drops a waiting request whose caller went away. Its hook is not called. Returns its
-    /// team, or nothing when it does not wait.
+    /// Removes a waiting request whose caller has disconnected, without calling its hook. Returns
+    /// its team, or nothing if no such request is waiting.
     std::optional<Core::TeamId> withdraw(std::uint64_t number);
-    /// Refuses what can no longer be in time, renews the lending plan and hands out free slots.
+    /// Refuses requests that can no longer meet their deadline, updates the lending plan and hands
+    /// out free slots.
     GroupActions tick(Core::Clock::Monotonic now);
 
-    /// The group's part of the next report to a sibling.
+    /// Builds the group's part of the next report to a sibling. `answeredSequence` is the sequence
+    /// number of the sibling's latest report.
     GroupReport report(const Core::InstanceId &sibling, std::uint64_t answeredSequence,
                        Core::Clock::Monotonic now);
     GroupActions applyReport(const Core::InstanceId &sibling, const GroupReport &report,
--- a/Libraries/LibAdmission/LeasedShare.cpp
+++ b/Libraries/LibAdmission/LeasedShare.cpp
@@ -6,6 +6,7 @@
 namespace Admission {
 
 namespace {
+/// The largest fraction of the safe share that may be lent.
 constexpr double LendableFraction = 0.75;
 } // namespace
 
@@ -108,7 +109,7 @@
 
 std::uint32_t LeasedShare::lentTo(const Core::InstanceId &sibling, Core::Clock::Monotonic now) const
 {
-    // The sibling holds one of the leases that have not run out, and which one is not known.
+    // The sibling uses one of its unexpired leases. It is not known which, so the largest counts.
     std::uint32_t maxAmount = 0;
     const auto leases = m_lent.find(sibling);
     if (leases == m_lent.end())
--- a/Libraries/LibAdmission/LeasedShare.h
+++ b/Libraries/LibAdmission/LeasedShare.h
@@ -13,66 +13,71 @@
 
 namespace Admission {
 
-/// Time that a lent amount may be used, counted by the borrower from the report that the lease
-/// answers, and by the lender from the lease itself, which is later.
+/// The time for which a lent amount may be used. The borrower counts it from when it sent the
+/// report that the lease answers, the lender from when it issued the lease, which is later.
 constexpr std::chrono::milliseconds LeaseDuration {1000};
 
-/// Time by which the lender takes an amount back later than the borrower stops using it, for clocks
-/// that do not run equally fast.
+/// The time that the lender waits beyond LeaseDuration before it uses the amount again, to allow
+/// for clock drift between the instances.
 constexpr std::chrono::milliseconds LeaseMargin {50};
 
-/// A lent amount as one instance writes it to another. A higher number replaces a lower one.
+/// An amount lent by one instance to another. A lease with a higher number replaces one with a
+/// lower number.
 struct Lease
 {
     std::uint64_t number = 0;
     std::uint32_t amount = 0;
-    /// The borrower's report that the lease answers.
+    /// The sequence number of the borrower's report that the lease answers.
     std::uint64_t answers = 0;
 };
 
-/// Divides what one instance can spare among siblings that hold too little. `targets` says what
-/// each instance should hold, at position `self` this one; each holds `safeShare` by itself. All
-/// instances that know the same targets lend, together, no more than is missing. A quarter of the
-/// safe share is never lent, so that new demand is met without waiting for a lease to run out.
+/// Divides the surplus of one instance among siblings whose target exceeds their safe share, and
+/// returns the amount to lend to each instance. `targets` holds the target amount of every
+/// instance, that of this one at index `self`; every instance has a safe share of `safeShare`.
+/// Instances with the same targets together lend no more than the total deficit. A quarter of the
+/// safe share is never lent, so that new demand is met without waiting for a lease to expire.
 std::vector<std::uint32_t> planLending(std::uint32_t safeShare, std::span<const double> targets,
                                        std::size_t self);
 
-/// One instance's part of a quantity that siblings divide without a coordinator. Each has a safe
-/// share, and the safe shares add up to the whole. An instance lends a part of its safe share by a
-/// lease and does not use it until the lease has run out or the borrower holds a newer, smaller
-/// one, so that the amounts in use never add up to more than the whole, whatever messages are
-/// lost, late, doubled or reordered. An instance that hears nobody falls back to its safe share
-/// within LeaseDuration plus LeaseMargin. Not safe for several threads at once.
+/// One instance's share of a quantity that siblings divide without a coordinator. Each instance has
+/// a safe share, and the safe shares add up to the total. An instance lends part of its safe share
+/// by a lease and does not use that part until the lease has expired or the borrower has
+/// acknowledged a newer, smaller one. The amounts in use therefore never exceed the total, even if
+/// messages are lost, delayed, duplicated or reordered. An instance that receives no messages
+/// returns to its safe share within LeaseDuration plus LeaseMargin. Not thread-safe.
 class LeasedShare
 {
 public:
-    /// Sets the safe share: position `index` of `count` siblings. It is at least 1 of a quantity
-    /// that is not 0; when the quantity is smaller than the count, the shares add up to the count.
+    /// Sets the safe share of instance `index` out of `count` instances. It is at least 1 unless
+    /// the quantity is 0, so the shares add up to `count` if the quantity is smaller than `count`.
     void setSafeShare(std::uint32_t quantity, std::uint32_t index, std::uint32_t count);
 
-    /// What may be used now: the safe share, less what is lent, plus what is borrowed.
+    /// Returns the amount that may be used now: the safe share minus lent plus borrowed amounts.
     std::uint32_t available(Core::Clock::Monotonic now) const;
 
     std::uint32_t safeShare() const { return m_safeShare; }
 
-    /// Lends up to the given amount in answer to the sibling's report, replacing what the sibling
-    /// had. Returns nothing when there is neither something to lend nor something to take back.
+    /// Issues a lease for at most the given amount in answer to the sibling's report with the given
+    /// sequence number. It replaces the sibling's earlier leases. Returns nothing if the amount is
+    /// 0 and no earlier lease is outstanding.
     std::optional<Lease> lend(const Core::InstanceId &sibling, std::uint32_t amount,
                               std::uint64_t answeredSequence, Core::Clock::Monotonic now);
 
-    /// Notes that the sibling has let go of every lease below the number.
+    /// Records that the sibling no longer uses any lease with a number below the given one.
     void noteAcknowledged(const Core::InstanceId &sibling, std::uint64_t number);
 
-    /// Takes a lease of a sibling. `reportSent` is when the report that it answers was sent.
+    /// Accepts a lease from a sibling. `reportSent` is the time at which the report that the lease
+    /// answers was sent.
     void accept(const Core::InstanceId &sibling, const Lease &lease,
                 Core::Clock::Monotonic reportSent);
 
-    /// The highest lease number that may be acknowledged to the sibling: the latest accepted when
-    /// no more is in use than available now, else the one before.
+    /// Returns the lease number to acknowledge to the sibling: that of the latest accepted lease if
+    /// the amount in use does not exceed the available amount, otherwise the number acknowledged
+    /// before.
     std::uint64_t acknowledge(const Core::InstanceId &sibling, std::uint32_t inUse,
                               Core::Clock::Monotonic now);
 
-    /// Forgets what was borrowed from an instance that has restarted.
+    /// Discards the lease borrowed from a sibling that has restarted.
     void forgetBorrowed(const Core::InstanceId &sibling);
 
 private:
--- a/Libraries/LibAdmission/Policy.h
+++ b/Libraries/LibAdmission/Policy.h
@@ -9,51 +9,53 @@
 
 namespace Admission {
 
-/// How one class of work is treated in a group.
+/// The scheduling rules of one priority class in a group.
 struct ClassPolicy
 {
     Core::PriorityClassId id;
-    /// Part of the group's slots, 0 to 1, that the class keeps while more urgent work floods in.
+    /// The fraction of the group's slots, 0 to 1, that is guaranteed to the class even when more
+    /// urgent classes have enough requests to fill the group.
     double floorShare = 0;
-    /// Requests of the class that may wait at one instance.
+    /// The maximum number of requests of the class that may wait at one instance.
     std::size_t queueLimit = 256;
-    /// Whether running work of the class may be cancelled for more urgent or entitled work.
+    /// Whether running requests of the class may be cancelled in favour of requests that are more
+    /// urgent or whose team is below its own capacity.
     bool preemptible = false;
 };
 
-/// What one team may use of a group.
+/// How much of a group one team may use.
 struct TeamPolicy
 {
     Core::TeamId id;
-    /// Relative weight when slots are shared out.
+    /// Relative weight of the team when slots are divided among teams.
     double weight = 1;
-    /// Part of the group's slots, 0 to 1, that the team pays for.
+    /// The fraction of the group's slots, 0 to 1, that the team pays for (its own capacity).
     double ownedShare = 0;
-    /// Whether the team may use idle slots beyond its own.
+    /// Whether the team may borrow idle slots beyond its own capacity.
     bool mayBorrow = true;
 };
 
-/// The rules of one upstream group.
+/// The admission rules of one upstream group.
 struct GroupPolicy
 {
     Core::UpstreamGroupId id;
-    /// The most urgent class first.
+    /// Ordered by urgency, the most urgent class first.
     std::vector<ClassPolicy> classes;
     std::vector<TeamPolicy> teams;
-    /// Requests that the group's live upstreams run at once.
+    /// The number of requests that the group's live upstreams can run concurrently.
     std::uint32_t slots = 0;
 };
 
-/// What a team may ask of the whole fleet, over all groups; 0 for no limit.
+/// The limits of a team over all instances and groups. A limit of 0 means unlimited.
 struct TeamLimitPolicy
 {
     Core::TeamId team;
     std::uint32_t requestsPerSecond = 0;
-    /// Requests that run or wait at once.
+    /// The maximum number of requests that run or wait at the same time.
     std::uint32_t concurrentRequests = 0;
 };
 
-/// All rules, as the configuration in force gives them.
+/// All admission rules of the active configuration.
 struct Policy
 {
     std::vector<GroupPolicy> groups;
--- a/Libraries/LibAdmission/RetryBudget.cpp
+++ b/Libraries/LibAdmission/RetryBudget.cpp
@@ -6,6 +6,7 @@
 namespace Admission {
 
 namespace {
+/// The balance is counted in thousandths of a retry.
 constexpr std::int64_t UnitsPerRetry = 1000;
 constexpr std::chrono::nanoseconds OneSecond = std::chrono::seconds(1);
 } // namespace
@@ -50,7 +51,7 @@
     const auto earned = static_cast<std::int64_t>(
         static_cast<double>(std::max<Core::Clock::Monotonic::rep>(0, current - last))
         * m_unitsPerNanosecond);
-    // Whoever moves the time on adds what was earned up to it.
+    // Only the thread that advances the refill time adds the amount earned since the last refill.
     if (earned >= 1 && m_lastRefill.compare_exchange_strong(last, current))
         add(std::min(earned, m_maxBalance));
 }
--- a/Libraries/LibAdmission/RetryBudget.h
+++ b/Libraries/LibAdmission/RetryBudget.h
@@ -7,28 +7,28 @@
 
 namespace Admission {
 
-/// How many retries a group allows.
+/// The limits for the retries of one upstream group.
 struct RetryBudgetSettings
 {
-    /// Retries for each recent success.
+    /// Retries earned per successful request.
     double share = 0.1;
-    /// Retries that are always allowed in a second, for groups with little traffic.
+    /// Retries earned per second regardless of traffic, for groups with few requests.
     double minPerSecond = 1;
-    /// The most retries that unused budget adds up to.
+    /// The maximum number of retries that can accumulate.
     std::uint32_t burst = 20;
 };
 
-/// Bounds the retries of one upstream group to a share of its recent successes, so that failing
-/// upstreams do not get a multiple of their load. Safe from any thread, without locks.
+/// Limits the retries of one upstream group to a share of its recent successes, so that retries do
+/// not multiply the load on failing upstreams. Thread-safe and lock-free.
 class RetryBudget
 {
 public:
     explicit RetryBudget(const RetryBudgetSettings &settings);
 
-    /// An upstream of the group answered a request.
+    /// Records that an upstream of the group answered a request.
     void noteSuccess();
-    /// Takes one retry out of the budget. False when there is none; the error of the first attempt
-    /// is then the answer.
+    /// Takes one retry from the budget. Returns false if none is left; the caller then returns the
+    /// error of the first attempt.
     bool tryRetry(Core::Clock::Monotonic now);
 
 private:
@@ -38,7 +38,7 @@
     const std::int64_t m_unitsPerSuccess;
     const double m_unitsPerNanosecond;
     const std::int64_t m_maxBalance;
-    /// In thousandths of a retry.
+    /// The budget left, in thousandths of a retry.
     std::atomic<std::int64_t> m_balance;
     std::atomic<Core::Clock::Monotonic::rep> m_lastRefill {0};
 };
--- a/Libraries/LibAdmission/SiblingReport.h
+++ b/Libraries/LibAdmission/SiblingReport.h
@@ -10,44 +10,46 @@
 
 namespace Admission {
 
-/// One shared quantity as a report to one sibling carries it.
+/// The part of a report to one sibling that concerns one shared quantity.
 struct ShareReport
 {
-    /// What the sender gives the receiver to use.
+    /// The amount that the sender lends to the receiver.
     std::optional<Lease> lease;
-    /// The sender has let go of the receiver's leases below this number.
+    /// The sender no longer uses any of the receiver's leases with a number below this one.
     std::uint64_t acknowledged = 0;
 };
 
-/// A group's part of a report.
+/// The part of a report that concerns one upstream group.
 struct GroupReport
 {
     Core::UpstreamGroupId group;
-    /// The sender's largest demands.
+    /// The largest demands at the sender.
     std::vector<TeamDemand> demands;
     ShareReport slots;
 };
 
-/// A limited team's part of a report.
+/// The part of a report that concerns one team with limits.
 struct TeamLimitReport
 {
     Core::TeamId team;
-    /// Requests a second that the sender's callers asked for, refused ones included.
+    /// Requests per second received by the sender, including refused ones.
     double rateDemand = 0;
-    /// Requests that ran or waited at the sender, or would have.
+    /// Concurrent requests at the sender, running or waiting, including refused ones.
     double concurrencyDemand = 0;
     ShareReport rate;
     ShareReport concurrency;
 };
 
-/// What one instance tells one sibling, several times a second. Later reports replace earlier ones.
+/// A report from one instance to one sibling, sent several times per second. Each report replaces
+/// the earlier ones.
 struct SiblingReport
 {
     Core::InstanceId from;
     std::uint64_t incarnation = 0;
-    /// The receiver's incarnation that the leases answer; 0 while none was heard.
+    /// The incarnation of the receiver that the leases and acknowledgements are meant for; 0 if the
+    /// sender has not received a report from it yet.
     std::uint64_t receiverIncarnation = 0;
-    /// Grows by report to this receiver.
+    /// Incremented with each report to this receiver.
     std::uint64_t sequence = 0;
     std::vector<GroupReport> groups;
     std::vector<TeamLimitReport> limits;
--- a/Libraries/LibAdmission/SlotScheduler.cpp
+++ b/Libraries/LibAdmission/SlotScheduler.cpp
@@ -7,10 +7,12 @@
 
 namespace {
 
+/// Weight of a new sample in the average interval between grants.
 constexpr double GrantIntervalGain = 0.2;
 constexpr double MinWeight = 1e-6;
+/// The floor debt is limited to this time at the full floor.
 constexpr std::chrono::duration<double> MaxFloorDebt {2.0};
-/// Running requests looked at for one preemption.
+/// The maximum number of running requests examined to find one to preempt.
 constexpr int VictimScanLimit = 32;
 
 } // namespace
@@ -209,7 +211,7 @@
     for (auto &[number, entry] : m_running) {
         const auto cls = next.classIndex(entry.request.ticket.priorityClass);
         const auto team = next.teamIndex(entry.request.ticket.team);
-        // A running request whose team or class is gone goes on without being counted.
+        // A running request whose team or class was removed continues without being counted.
         if (cls && team)
             next.noteRunning(std::move(entry), *cls, *team);
     }
@@ -360,7 +362,7 @@
 
 void SlotScheduler::updateGrantInterval(Queue &queue, Core::Clock::Monotonic now)
 {
-    // The wait of a request that found its queue empty only shows that the pace is at most that.
+    // The wait of a request that found its queue empty is only an upper bound of the interval.
     const auto since = queue.lastGrant.value_or(queue.waiting.front().arrived);
     const std::chrono::duration<double> gap = now - since;
     if (queue.lastGrant && queue.grantInterval.count() <= 0)
@@ -380,7 +382,7 @@
         const double floorSlots = m_policy.classes[cls].floorShare * m_share;
         const double maxDebt = floorSlots * MaxFloorDebt.count();
         const double debtIncrease = (floorSlots - state.running) * elapsed.count();
-        // A class without waiting work is not behind.
+        // A class without waiting requests is not behind its floor.
         const double ceiling = state.queued > 0 ? maxDebt : 0.0;
         state.floorDebt = std::clamp(state.floorDebt + debtIncrease, -maxDebt, ceiling);
     }
--- a/Libraries/LibAdmission/SlotScheduler.h
+++ b/Libraries/LibAdmission/SlotScheduler.h
@@ -24,7 +24,7 @@
     Core::Clock::Monotonic arrived;
 };
 
-/// A request that a free slot was given to, or that missed its deadline.
+/// A request to which a free slot was assigned.
 struct ScheduledRequest
 {
     WaitingRequest request;
@@ -32,75 +32,82 @@
     int enginePriority = 0;
 };
 
-/// The waiting and running requests of one group at one instance, and the order in which slots are
-/// given. A class below its floor goes first. Then come teams that use less than their own
-/// capacity, the most urgent class first; a team's use counts only classes as urgent or more, so
-/// that its urgent work displaces its other work. Lent capacity goes last, by class. Within a class
-/// the team with the least service for its weight is next (start-time fair queueing in tokens).
-/// No locks: the owner serialises calls.
+/// Holds the waiting and running requests of one group at one instance and decides the order in
+/// which they get slots. Classes below their floor are served first. Next are teams that use less
+/// than their own capacity (entitled teams), the most urgent class first; a team's use counts only
+/// requests of the same or more urgent classes, so that its urgent work displaces its other work.
+/// Lent capacity is assigned last, by class. Within a class, the team with the least service
+/// relative to its weight is next (start-time fair queueing, with service counted in tokens). Not
+/// thread-safe: the owner must serialise calls.
 class SlotScheduler
 {
 public:
     explicit SlotScheduler(const GroupPolicy &policy);
 
-    /// Position of a team or class in the policy, if it has one.
+    /// Returns the index of a team or class in the policy, if the policy has it.
     std::optional<std::size_t> teamIndex(const Core::TeamId &team) const;
     std::optional<std::size_t> classIndex(const Core::PriorityClassId &priorityClass) const;
 
-    /// Whether another request of the team fits the class's queue: a team may fill at most as much
-    /// of it as is left free, so that one flood leaves room for the other teams.
+    /// Whether another request of the team may enter the class's queue. A team may have at most as
+    /// many requests in the queue as there are free places, so that a burst of one team leaves room
+    /// for the others.
     bool hasQueueRoom(std::size_t classIndex, std::size_t teamIndex) const;
 
-    /// Time that a new request of the team would wait, from the recent pace of its queue.
+    /// Estimates how long a new request of the team would wait for a slot, from the queue length
+    /// and the average interval between grants.
     std::chrono::microseconds expectedWait(std::size_t classIndex, std::size_t teamIndex) const;
 
-    /// Time from a grant to the first token that the ticket should count on: its own expectation
-    /// and what requests of the class lately took beyond theirs, with a margin for their spread.
+    /// Estimates the time from the grant to the first token: the ticket's own estimate plus the
+    /// recent delay of the class's requests beyond theirs, with a margin for its spread.
     std::chrono::microseconds expectedFirstToken(std::size_t classIndex, std::size_t teamIndex,
                                                  const Ticket &ticket) const;
-    /// The first token of a running request came.
+    /// Records the first token of a running request.
     void noteFirstToken(std::uint64_t number, Core::Clock::Monotonic now);
-    /// Lets what was learned fade while no first tokens come, so that a class that is refused
-    /// altogether is tried again. Call at a steady pace.
+    /// Reduces the delay estimates that got no new sample since the last call, so that a class
+    /// whose requests are all refused is eventually tried again. Must be called at regular
+    /// intervals.
     void decayDelays();
 
-    /// Adds a request whose team and class the policy knows. A resumed one goes to the front.
+    /// Adds a request to its queue; a resumed one goes to the front. The policy must have its team
+    /// and class.
     void enqueue(WaitingRequest request);
 
-    /// Takes a waiting request out, for a caller that went away.
+    /// Removes a waiting request whose caller has disconnected.
     std::optional<WaitingRequest> withdraw(std::uint64_t number);
 
-    /// Gives a slot to the next request, if one may run.
+    /// Assigns a slot to the next request, if one may run within the given share of slots.
     std::optional<ScheduledRequest> next(std::uint32_t share, Core::Clock::Monotonic now);
 
-    /// Takes out a request at the head of a queue whose deadline can no longer be met.
+    /// Removes a request from the head of a queue if its deadline can no longer be met.
     std::optional<WaitingRequest> takeUnreachable(Core::Clock::Monotonic now);
 
-    /// Ends a running request, charges its team the tokens really used, and returns the team.
-    /// Nothing when the number names no running request.
+    /// Ends a running request, charges its team for the tokens actually used and returns the team.
+    /// Returns nothing if no request with this number is running.
     std::optional<Core::TeamId> finish(std::uint64_t number, std::uint64_t usedTokens,
                                        Core::Clock::Monotonic now);
 
-    /// A running request that should yield to a waiting one, marked so that it is named only once.
+    /// Returns a running request that should be preempted in favour of a waiting one, if any. Each
+    /// request is returned at most once.
     std::optional<std::uint64_t> preemptionVictim(std::uint32_t share);
 
-    /// The part of each team's demand in the fleet that this instance sees, by team position.
+    /// Sets the fraction of each team's fleet-wide demand that is at this instance, by team index.
     void setLocality(std::vector<double> locality) { m_locality = std::move(locality); }
 
-    /// Keeps this many slots free of borrowed work, for teams below their own capacity.
+    /// Sets how many slots are kept free of borrowed work, for teams below their own capacity.
     void setReserve(std::uint32_t slots) { m_reserve = slots; }
-    /// Keeps slots free of each class's work, by class position, for more urgent classes.
+    /// Sets how many slots are kept free of each class's work, for more urgent classes, by class
+    /// index.
     void setClassReserves(std::vector<std::uint32_t> slots) { m_classReserves = std::move(slots); }
-    /// Slots that the team could still take within its own capacity, at most as many as given.
+    /// Returns how many more slots the team may use within its own capacity, at most `atMost`.
     double remainingOwnedSlots(std::size_t teamIndex, double atMost) const;
 
     std::uint32_t running() const { return static_cast<std::uint32_t>(m_running.size()); }
     std::size_t waiting() const;
-    /// Running and waiting requests of one team in one class.
+    /// Returns the number of running and waiting requests of one team in one class.
     std::size_t demand(std::size_t classIndex, std::size_t teamIndex) const;
 
-    /// Moves the requests over to another scheduler. Returns waiting ones that its policy does not
-    /// know.
+    /// Moves all requests to another scheduler. Returns the waiting requests whose team or class
+    /// the other scheduler's policy does not have.
     std::vector<WaitingRequest> moveTo(SlotScheduler &next);
 
 private:
@@ -108,13 +115,13 @@
     {
         std::deque<WaitingRequest> waiting;
         std::uint32_t running = 0;
-        /// Running requests that were asked to yield.
+        /// The number of running requests that are being preempted.
         std::uint32_t yielding = 0;
-        /// Running requests, of any queue, that yield for this queue's sake.
+        /// The number of running requests, of any queue, being preempted in favour of this queue.
         std::uint32_t pendingYields = 0;
-        /// Tokens of service divided by weight.
+        /// Service received, in tokens divided by the weight of the team.
         double service = 0;
-        /// Time between grants while the queue was never empty; 0 while unknown.
+        /// The average time between grants while the queue is not empty; 0 if not known yet.
         std::chrono::duration<double> grantInterval {0};
         std::optional<Core::Clock::Monotonic> lastGrant;
     };
@@ -124,12 +131,13 @@
         std::uint32_t running = 0;
         std::uint32_t yielding = 0;
         double virtualTime = 0;
-        /// Slot-seconds by which the class is behind its floor.
+        /// How far the class is behind its floor, in slot-seconds.
         double floorDebt = 0;
-        /// Delays of work within and beyond its team's own capacity, which engines order apart.
+        /// First-token delays of requests within and beyond their team's own capacity. They are
+        /// kept separately because engines get different priorities for them.
         DelayEstimate ownDelay;
         DelayEstimate borrowedDelay;
-        /// Teams with waiting requests.
+        /// The teams that have waiting requests.
         std::vector<std::size_t> active;
     };
     struct Running
@@ -140,7 +148,7 @@
         std::uint64_t startOrder = 0;
         Core::Clock::Monotonic granted;
         bool isBorrowed = false;
-        /// The queue for whose sake the request was asked to yield.
+        /// The index of the queue in whose favour the request is being preempted, if any.
         std::optional<std::size_t> yieldsTo;
     };
     struct Choice
@@ -149,7 +157,7 @@
         std::size_t teamIndex = 0;
         bool borrowed = false;
     };
-    /// Which of the passes over the queues a choice is made in.
+    /// The passes over the queues, in the order in which they are made.
     enum class Pass {
         Floor,
         Owned,
@@ -183,9 +191,9 @@
     std::vector<Queue> m_queues;
     std::vector<ClassState> m_classes;
     std::unordered_map<std::uint64_t, Running> m_running;
-    /// Class and team of each waiting request.
+    /// The index in m_queues of each waiting request, by request number.
     std::unordered_map<std::uint64_t, std::size_t> m_waitingCells;
-    /// Running requests that may be preempted, by the order in which they started.
+    /// Running requests that may be preempted: from start order to request number.
     std::map<std::uint64_t, std::uint64_t> m_preemptible;
     std::uint32_t m_share = 0;
     std::uint32_t m_reserve = 0;
--- a/Libraries/LibAdmission/SuspectTable.cpp
+++ b/Libraries/LibAdmission/SuspectTable.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// The newest first; ties by name, so that every instance keeps the same ones.
+/// Orders crashes from newest to oldest, then by identifier so that all instances keep the same
+/// ones.
 bool isNewer(const CrashRecord &a, const CrashRecord &b)
 {
     return a.time != b.time ? a.time > b.time : a.crash > b.crash;
@@ -104,7 +105,8 @@
     std::sort(it.crashes.begin(), it.crashes.end(), isNewer);
     if (it.crashes.size() > m_settings.crashLimit)
         it.crashes.resize(m_settings.crashLimit);
-    // A record without crashes is kept for its clearing time while siblings may still send them.
+    // A record without crashes is kept for its clearedAt while siblings may still send older
+    // crashes.
     if (newestTime(it) + m_settings.window < m_clock.wallNow())
         m_records.erase(record.digest);
     m_size = m_records.size();
--- a/Libraries/LibAdmission/SuspectTable.h
+++ b/Libraries/LibAdmission/SuspectTable.h
@@ -14,55 +14,56 @@
 
 namespace Admission {
 
-/// Hash of a whole request, so that requests that only share a prefix differ.
+/// The hash of a complete request. Requests that merely share a prefix have different digests.
 using RequestDigest = std::uint64_t;
 
-/// One upstream crash while a request ran on it.
+/// A crash of an upstream on which a request was running.
 struct CrashRecord
 {
-    /// Names the crash: the same for every instance that saw it, a hash of the upstream and the
-    /// incarnation that ended.
+    /// Identifies the crash: a hash of the upstream and of the incarnation that crashed, so that
+    /// all instances that observed it use the same value.
     std::uint64_t crash = 0;
     Core::Clock::Wall time;
 
     friend bool operator==(const CrashRecord &, const CrashRecord &) = default;
 };
 
-/// What is known of one digest, as siblings exchange it.
+/// The record of one request digest, as exchanged between siblings.
 struct SuspectRecord
 {
     RequestDigest digest = 0;
-    /// The newest crashes first; at most the limit.
+    /// The crashes, newest first; at most SuspectSettings::crashLimit.
     std::vector<CrashRecord> crashes;
-    /// Crashes up to this time do not count: a request of the digest was answered then.
+    /// Crashes up to this time are ignored because a request with the digest was answered then.
     Core::Clock::Wall clearedAt;
 
     friend bool operator==(const SuspectRecord &, const SuspectRecord &) = default;
 };
 
-/// What may be done with a request.
+/// Whether a request may run, given the crashes recorded for its digest.
 enum class SuspectVerdict {
     Clear,
-    /// May run, but never on one upstream together with another suspect, so that the next crash
-    /// tells which of them is to blame.
+    /// The request may run, but never on the same upstream as another suspect, so that the next
+    /// crash shows which request caused it.
     Suspect,
-    /// Must be refused with PoisonRequest.
+    /// The request must be refused with ErrorKind::PoisonRequest.
     Poison,
 };
 
 struct SuspectSettings
 {
-    /// Crashes after which a digest is refused; the number of upstreams one digest can cost.
+    /// The number of crashes after which a digest is refused; bounds how many upstreams it can
+    /// crash.
     std::size_t crashLimit = 3;
-    /// Time after which a crash is forgotten.
+    /// The time after which a crash is no longer counted.
     std::chrono::seconds window {600};
-    /// Digests kept; the one with the oldest crash goes first.
+    /// The maximum number of digests; the one whose newest crash is the oldest is evicted first.
     std::size_t capacity = 4096;
 };
 
-/// Requests that ran on upstreams that crashed. Merging siblings' records is commutative,
-/// associative and idempotent, so that records may be resent, reordered and passed on. Safe from
-/// any thread; while the table is empty a check reads one atomic.
+/// Tracks the requests that were running on upstreams when these crashed. Merging records of
+/// siblings is commutative, associative and idempotent, so records may be resent, reordered and
+/// forwarded. Thread-safe. While the table is empty, check() only reads one atomic.
 class SuspectTable
 {
 public:
@@ -70,12 +71,14 @@
     SuspectTable(const Core::Clock &clock, const SuspectSettings &settings);
 
     SuspectVerdict check(RequestDigest digest) const;
-    /// Notes a crash against every request that ran on the upstream, this instance's own or not.
+    /// Records a crash for every request that was running on the upstream, including requests from
+    /// other instances.
     void noteCrash(std::uint64_t crash, std::span<const RequestDigest> running);
-    /// A request of the digest got its whole answer, so that earlier crashes were not its fault.
+    /// Records that a request with the digest was answered completely, so that it did not cause the
+    /// earlier crashes.
     void noteAnswered(RequestDigest digest);
 
-    /// Up to `limit` records, those with the newest crashes first.
+    /// Returns up to `limit` records, those with the newest crashes first.
     std::vector<SuspectRecord> records(std::size_t limit) const;
     void merge(std::span<const SuspectRecord> records);
 
--- a/Libraries/LibAdmission/TeamLimits.cpp
+++ b/Libraries/LibAdmission/TeamLimits.cpp
@@ -7,8 +7,11 @@
 
 namespace {
 
+/// Weight of a new sample in the demand averages.
 constexpr double DemandGain = 0.3;
+/// A team without active requests and with a lower demand, in requests per second, is idle.
 constexpr double MinRateDemand = 0.01;
+/// A sibling's demand is discarded when no report has been received from it for this long.
 constexpr std::chrono::milliseconds SiblingTimeout = LeaseDuration;
 
 } // namespace
@@ -82,7 +85,7 @@
 {
     auto &shard = shardOf(id);
     std::scoped_lock lock(shard.mutex);
-    // A limit that came with a new configuration has not counted the requests before it in.
+    // If the limit was added by a new configuration, earlier requests were not counted.
     if (const auto it = shard.teams.find(id);
         it != shard.teams.end() && it->second.activeRequests > 0)
         --it->second.activeRequests;
@@ -214,7 +217,7 @@
 std::vector<double> TeamLimits::targets(double limit, double ownDemand, const Team &team,
                                         double SiblingDemand::*demand) const
 {
-    // Equal weights: no instance's callers are worth more than another's.
+    // All instances have the same weight: no instance's callers take precedence over another's.
     std::vector<Claimant> claimants {{ownDemand, 1}};
     for (const auto &[sibling, it] : team.siblings)
         claimants.push_back({it.*demand, 1});
--- a/Libraries/LibAdmission/TeamLimits.h
+++ b/Libraries/LibAdmission/TeamLimits.h
@@ -13,26 +13,26 @@
 
 namespace Admission {
 
-/// The part of the teams' rate and concurrency limits that this instance may use. Each limit is
-/// divided among the siblings by leases, so that the parts in use add up to the limit at most, and
-/// an instance that is cut off keeps its safe part. A rate's burst is one second's worth of it.
-/// Every function is safe from any thread; teams are spread over locks.
+/// Enforces this instance's shares of the teams' rate and concurrency limits. Each limit is divided
+/// among the siblings by leases, so that the shares in use never exceed it in total, and an
+/// instance that is cut off keeps its safe share. The rate limit allows bursts of one second's
+/// worth of requests. All functions are thread-safe; the teams are sharded over several locks.
 class TeamLimits
 {
 public:
-    /// Replaces the limits. Requests under way stay counted.
+    /// Replaces the limits. Requests that are waiting or running remain counted.
     void configure(const std::vector<TeamLimitPolicy> &limits);
     void setPosition(std::uint32_t index, std::uint32_t count);
 
-    /// Counts a request in. False when the team has reached a limit.
+    /// Counts a new request. Returns false, without counting it, if the team has reached a limit.
     bool enter(const Core::TeamId &team, Core::Clock::Monotonic now);
-    /// Counts a resumed request in, to which no limit applies again.
+    /// Counts a resumed request, to which the limits do not apply again.
     void reenter(const Core::TeamId &team);
-    /// Counts a request out that entered.
+    /// Removes a request counted by enter() or reenter() from the count.
     void leave(const Core::TeamId &team);
 
-    /// Renews demand and lending plans. Called before each round of reports, by one thread at a
-    /// time.
+    /// Updates the demands and the lending plans. Must be called before each round of reports, by
+    /// one thread at a time.
     void tick(Core::Clock::Monotonic now);
     std::vector<TeamLimitReport> report(const Core::InstanceId &sibling,
                                         std::uint64_t answeredSequence, Core::Clock::Monotonic now);
@@ -60,7 +60,7 @@
         double tokens = 0;
         std::optional<Core::Clock::Monotonic> lastRefill;
         std::uint32_t activeRequests = 0;
-        /// Requests that asked to enter since the last tick.
+        /// Calls of enter() since the last tick, including refused ones.
         std::uint32_t arrivals = 0;
         std::uint32_t peakConcurrency = 0;
         double rateDemand = 0;
--- a/Libraries/LibAdmission/Ticket.h
+++ b/Libraries/LibAdmission/Ticket.h
@@ -11,10 +11,10 @@
 
 namespace Admission {
 
-/// Names one submitted request until it is released, refused or withdrawn.
+/// Identifies one submitted request until it is released, refused or withdrawn.
 struct TicketId
 {
-    /// Position of the group in the controller; stable over changes of configuration.
+    /// Index of the group in the controller. It does not change when the configuration does.
     std::uint32_t group = 0;
     std::uint64_t number = 0;
 
@@ -25,45 +25,46 @@
     }
 };
 
-/// What a request asks for.
+/// The properties of a request that admission decides on.
 struct Ticket
 {
     Core::UpstreamGroupId group;
     Core::TeamId team;
     Core::PriorityClassId priorityClass;
-    /// Prompt tokens to compute and tokens to generate, as far as they can be foretold.
+    /// Estimated number of prompt tokens to compute plus tokens to generate.
     std::uint64_t expectedTokens = 1;
-    /// When the first token must be there; empty when the class has no target.
+    /// The time by which the first token is due; empty when the class has no latency target.
     std::optional<Core::Clock::Monotonic> deadline;
-    /// Time an upstream needs from the send to the first token.
+    /// Estimated time from sending the request to an upstream until its first token.
     std::chrono::microseconds expectedFirstToken {0};
-    /// Whether this very request may be cancelled and sent again: it is idempotent, and its
-    /// upstream honours a cancel.
+    /// Whether this request may be cancelled and sent again, which requires that it is idempotent
+    /// and that its upstream supports cancellation.
     bool preemptible = false;
-    /// Whether the request was preempted before. It then waits before the others of its team, and
-    /// neither the rate nor the queue limit applies again.
+    /// Whether the request was preempted and is submitted again. It is then queued ahead of its
+    /// team's other requests and is exempt from the team limits and the queue limit.
     bool resumed = false;
 };
 
-/// The right to send one request.
+/// The permission to send one request to an upstream.
 struct Grant
 {
     TicketId id;
     /// How long the request waited.
     std::chrono::microseconds waited {0};
-    /// Whether the slot is beyond the team's own capacity.
+    /// Whether the slot is borrowed, that is, beyond the team's own capacity.
     bool borrowed = false;
-    /// The order in which an engine that honours priorities should take the request; lower is
-    /// sooner. Within a class, work within its team's own capacity comes before borrowed work.
+    /// The priority to pass to an engine that supports priorities; lower values are served first.
+    /// Within a class, requests within their team's own capacity precede borrowed ones.
     int enginePriority = 0;
 };
 
-/// Receives the decision on one ticket exactly once, never under a lock: a grant, or an error of
-/// kind Overloaded, TeamLimitReached, DeadlineUnreachable or Forbidden, whose attempt did not run.
+/// Receives the decision on one ticket. It is called exactly once, with no lock held, with either a
+/// grant or an error of kind Overloaded, TeamLimitReached, DeadlineUnreachable or Forbidden and
+/// execution status NotRun.
 using DecisionHook = std::function<void(Core::Result<Grant>)>;
 
-/// Asks the owner of a running request to cancel it at its upstream, to release its ticket and,
-/// when nothing reached the caller yet, to submit it again as resumed.
+/// Asks the owner of a running request to cancel it at its upstream and to release its ticket. If
+/// the caller has not received any output yet, the owner submits the request again as resumed.
 using PreemptionHook = std::function<void(TicketId)>;
 
 } // namespace Admission
--- a/Libraries/LibAdmission/UpstreamCircuit.cpp
+++ b/Libraries/LibAdmission/UpstreamCircuit.cpp
@@ -38,7 +38,7 @@
 void UpstreamCircuit::noteFailure(Core::Clock::Monotonic now, std::mt19937_64 &rng)
 {
     std::scoped_lock lock(m_mutex);
-    // Requests sent before the circuit opened fail later; they do not lengthen the pause.
+    // Requests sent before the circuit opened may still fail; they do not lengthen the pause.
     if (m_state == CircuitState::Open)
         return;
     if (m_state == CircuitState::Closed && ++m_failures < m_settings.failures)
--- a/Libraries/LibAdmission/UpstreamCircuit.h
+++ b/Libraries/LibAdmission/UpstreamCircuit.h
@@ -9,38 +9,41 @@
 
 namespace Admission {
 
-/// Whether an upstream takes work.
+/// The states of a circuit breaker.
 enum class CircuitState {
     Closed,
     Open,
-    /// One request tries whether the upstream is back.
+    /// One probe request is testing whether the upstream has recovered.
     HalfOpen,
 };
 
-/// When an upstream is passed over and for how long.
+/// When the circuit to an upstream opens and for how long.
 struct CircuitSettings
 {
-    /// Failures in a row that open the circuit.
+    /// The number of consecutive failures that opens the circuit.
     std::uint32_t failures = 3;
     std::chrono::milliseconds initialPause {250};
     std::chrono::milliseconds maxPause {8000};
 };
 
-/// Passes an upstream over after failures in a row, and lets one request at a time probe it after
-/// a pause that doubles, with jitter so that instances do not probe in step. Safe from any thread.
+/// A circuit breaker for one upstream. It opens after consecutive failures. After a pause it lets
+/// one request at a time probe the upstream. The pause doubles with each failed probe and has
+/// jitter so that instances do not probe simultaneously. Thread-safe.
 class UpstreamCircuit
 {
 public:
     explicit UpstreamCircuit(const CircuitSettings &settings);
 
-    /// Whether a request may be sent now. After a pause this is true for one caller only, whose
-    /// request is the probe; it must report success, failure or abandon().
+    /// Returns whether a request may be sent now. After a pause it returns true to one caller only,
+    /// whose request is the probe and who must then call noteSuccess(), noteFailure() or
+    /// abandonProbe().
     bool mayTry(Core::Clock::Monotonic now);
-    /// The probe ended without telling anything about the upstream.
+    /// Ends a probe that gave no information about the upstream, so that the next request probes
+    /// it.
     void abandonProbe();
-    /// The upstream answered.
+    /// Records an answer from the upstream and closes the circuit.
     void noteSuccess();
-    /// The upstream could not be connected, broke off or timed out.
+    /// Records that the upstream could not be connected to, aborted the request or timed out.
     void noteFailure(Core::Clock::Monotonic now, std::mt19937_64 &rng);
 
     CircuitState state() const;
--- a/Tests/LibAdmission/TestController.cpp
+++ b/Tests/LibAdmission/TestController.cpp
@@ -16,7 +16,7 @@
 const Core::PriorityClassId urgent("urgent");
 const Core::PriorityClassId overnight("overnight");
 
-/// One controller on a manual clock, and what became of the tickets submitted to it.
+/// A controller on a manual clock that records the decisions on the submitted tickets.
 struct Fixture
 {
     explicit Fixture(std::uint32_t slots, double owned = 0.5, std::size_t queueLimit = 256)
@@ -70,7 +70,7 @@
         });
     }
 
-    /// Releases the oldest granted request.
+    /// Releases the oldest granted request that has not been released yet.
     void releaseOldest()
     {
         const auto id = granted[released++].grant.id;
--- a/Tests/LibAdmission/TestFairShare.cpp
+++ b/Tests/LibAdmission/TestFairShare.cpp
@@ -33,7 +33,7 @@
         .classes = {{.id = urgent}},
         .teams = {{.id = small, .ownedShare = 0.5}, {.id = large, .ownedShare = 0.5}},
         .slots = 40};
-    // The small team's demand is all at the first instance, the large one's flood at the second.
+    // The small team's demand is at the first instance, the large team's at the second.
     const std::vector<std::vector<TeamDemand>> demands {{{small, urgent, 20}},
                                                         {{large, urgent, 1000}}};
     const auto targets = fairTargets(policy, demands);
--- a/Tests/LibAdmission/TestLeasedShare.cpp
+++ b/Tests/LibAdmission/TestLeasedShare.cpp
@@ -23,7 +23,8 @@
     std::uint64_t acknowledged = 0;
 };
 
-/// Siblings that lend to each other at random over a link that loses, doubles and reorders.
+/// Siblings that lend to each other at random over a link that loses, duplicates and reorders
+/// messages.
 struct LeaseExchange
 {
     explicit LeaseExchange(std::uint64_t seed)
@@ -59,7 +60,7 @@
         const auto position = link.begin() + static_cast<std::ptrdiff_t>(rng() % link.size());
         const auto it = *position;
         if (rng() % 5 != 0)
-            link.erase(position); // The others stay for a second delivery.
+            link.erase(position); // Messages that stay are delivered again.
         if (rng() % 4 == 0)
             return;
         auto &share = shares[it.to];
@@ -104,13 +105,13 @@
                     maxBorrowed = std::max(maxBorrowed, available - share.safeShare());
             }
         }
-        // Cut off, each falls back to its safe share.
+        // Without messages, each instance returns to its safe share.
         exchange.now += LeaseDuration + LeaseMargin;
         CHECK(exchange.total() == Quantity);
         for (const auto &share : exchange.shares)
             CHECK(share.available(exchange.now) == share.safeShare());
     }
-    // The sweep has really lent.
+    // The test is only meaningful if amounts were lent.
     CHECK(maxBorrowed > 0);
 }
 
--- a/Tests/LibAdmission/TestRetries.cpp
+++ b/Tests/LibAdmission/TestRetries.cpp
@@ -21,7 +21,7 @@
         budget.noteSuccess();
         retries += budget.tryRetry(clock.now());
     }
-    // A tenth of the successes, the burst, and one a second.
+    // Retries are limited to a tenth of the successes plus the burst plus one per second.
     CHECK(retries >= 100);
     CHECK(retries <= 100 + 5 + 1);
     retries = 0;
@@ -104,13 +104,13 @@
         for (int resend = 0; resend < 40; ++resend) {
             clock.advance(1s);
             auto &table = *tables[rng() % Instances];
-            // Innocent requests with the same prefix ran on the same upstream.
+            // Harmless requests with the same prefix run on the same upstream.
             const std::vector<RequestDigest> harmlessRequests {rng() % 100, rng() % 100};
             if (table.check(Poison) != SuspectVerdict::Poison) {
                 ++crashedUpstreams;
                 std::vector<RequestDigest> running {Poison};
                 for (const auto digest : harmlessRequests) {
-                    // Two suspects never share an upstream.
+                    // Two suspects never run on the same upstream.
                     if (table.check(digest) == SuspectVerdict::Clear)
                         running.push_back(digest);
                 }
@@ -144,7 +144,7 @@
     clock.advance(1s);
     table.noteAnswered(harmlessRequest);
     CHECK(table.check(harmlessRequest) == SuspectVerdict::Clear);
-    // The sibling's older record does not bring the crash back.
+    // Merging the sibling's older record does not restore the crash.
     table.merge(sibling.records(10));
     CHECK(table.check(harmlessRequest) == SuspectVerdict::Clear);
     sibling.merge(table.records(10));
