--- a/Libraries/LibPlacement/CandidateSet.cpp
+++ b/Libraries/LibPlacement/CandidateSet.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Mixes a key with an upstream's seed (the finaliser of splitmix64).
+/// Mixes the bits of a key combined with an upstream's seed (the finaliser of splitmix64).
 std::uint64_t mix(std::uint64_t value)
 {
     value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -17,8 +17,8 @@
     return value ^ (value >> 31);
 }
 
-/// A close lower-cost stand-in for the binary logarithm of a positive float, the same on every
-/// machine. Monotonic, so that equal weights rank as the hash does.
+/// A fast approximation of the binary logarithm of a positive float that gives the same result on
+/// every machine. It is monotonic, so that upstreams of equal weight are ranked by their hash.
 float fastLog2(float value)
 {
     const auto bits = std::bit_cast<std::uint32_t>(value);
@@ -27,10 +27,10 @@
     return exponent + (mantissa - 1) * (1.3465557F - 0.3465557F * (mantissa - 1));
 }
 
-/// A hash that is surely below all whose logarithm is at least the value.
+/// Returns a lower bound of all hashes whose logarithm is at least the given value.
 std::uint64_t hashLowerBound(float log)
 {
-    // The stand-in for the logarithm errs by less than this.
+    // The error of fastLog2() is smaller than this.
     constexpr float Margin = 0.05F;
     constexpr double HashRange = 18446744073709551616.0; // 2^64
     return static_cast<std::uint64_t>(std::exp2(static_cast<double>(log - Margin)) * HashRange);
@@ -60,8 +60,8 @@
     count = std::min({count, MaxPreferredUpstreams, m_slots.size()});
     std::array<float, MaxPreferredUpstreams> scores {};
     std::size_t n = 0;
-    // Hashes below this cannot rank even with the greatest weight, so that most candidates cost
-    // one hash and one comparison.
+    // Candidates with a hash below this cannot be among the best even with the largest weight, so
+    // most candidates cost only one hash and one comparison.
     std::uint64_t minHash = 0;
     for (std::size_t i = 0; i < m_slots.size(); ++i) {
         if (mix(key ^ m_seeds[i]) < minHash)
@@ -97,7 +97,7 @@
 
 float CandidateSet::score(std::uint64_t key, std::size_t position) const
 {
-    // Weighted rendezvous: log(u) / weight, with u even in (0, 1).
+    // Weighted rendezvous hashing: log2(u) / weight, with u distributed uniformly in (0, 1).
     constexpr float Scale = 1.0F / 16777216.0F; // 2^-24
     const auto hash = mix(key ^ m_seeds[position]);
     const auto uniform = (static_cast<float>(hash >> 40) + 0.5F) * Scale;
--- a/Libraries/LibPlacement/CandidateSet.h
+++ b/Libraries/LibPlacement/CandidateSet.h
@@ -7,34 +7,38 @@
 
 namespace Placement {
 
-/// Preferred upstreams of a prefix that are looked at; a wider prefix counts every candidate as
-/// one.
+/// The maximum number of preferred upstreams of a prefix. A prefix that needs more than this has no
+/// preferred upstreams: all candidates are treated alike.
 constexpr std::size_t MaxPreferredUpstreams = 16;
 
-/// The upstreams that may serve a group's requests, and the preferred upstreams of
-/// prefixes among them by weighted rendezvous hashing. Immutable; equal sets give equal preferred
-/// upstreams on every instance. Made anew when upstreams come, leave or change their weight.
+/// The upstreams that may serve a group's requests. The preferred upstreams of a prefix among them
+/// are determined by weighted rendezvous hashing, so that all instances with equal sets choose the
+/// same ones. Immutable: a new set is created when upstreams are added, are removed or change their
+/// weight.
 class CandidateSet
 {
 public:
-    /// Upstreams by name, so that instances that numbered them differently still agree.
+    /// Creates a set of the given upstreams. Hashing uses their names, so that instances that
+    /// numbered the upstreams differently choose the same preferred upstreams.
     static CandidateSet create(const UpstreamTable &table, std::span<const UpstreamSlot> slots);
 
     std::size_t size() const { return m_slots.size(); }
     std::span<const UpstreamSlot> slots() const { return m_slots; }
     bool contains(UpstreamSlot slot) const { return m_members.test(slot); }
-    /// Position in slots(). The slot must be a member.
+    /// Returns the index of the slot in slots(). The slot must be a member.
     std::size_t position(UpstreamSlot slot) const { return m_positions[slot]; }
-    /// Writes the positions of the key's `count` best preferred upstreams, best first, and returns
-    /// how many there are. At most MaxPreferredUpstreams.
+    /// Writes the positions of the `count` preferred upstreams of the key, best first, and returns
+    /// their number, which is at most MaxPreferredUpstreams.
     std::size_t preferredUpstreams(std::uint64_t key, std::size_t count,
                                    std::span<std::uint16_t, MaxPreferredUpstreams> positions) const;
-    /// Keeps the key's `count` best preferred upstreams among the positions, best first.
+    /// Sorts the positions so that the first `count` of them are the best ones for the key, best
+    /// first.
     void narrow(std::uint64_t key, std::size_t count, std::span<std::uint16_t> positions) const;
 
 private:
     CandidateSet() = default;
-    /// The rank of a position for the key; the highest is the first preferred upstream.
+    /// Returns the rendezvous score of a position for the key; the first preferred upstream has the
+    /// highest.
     float score(std::uint64_t key, std::size_t position) const;
 
     std::vector<UpstreamSlot> m_slots;
--- a/Libraries/LibPlacement/Placement.cpp
+++ b/Libraries/LibPlacement/Placement.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// Sets up to this size are weighed whole; of larger ones, a sample besides holders and preferred
-/// upstreams.
+/// All members of sets up to this size are evaluated. Of larger sets, only the expected holders,
+/// the preferred upstreams and a random sample are.
 constexpr std::size_t MaxFullyEvaluated = 64;
 constexpr std::size_t SampleSize = 16;
 
-/// A block unused for longer than this is ever less likely to be cached still.
+/// The probability that a block is still cached decreases once it has been unused for this long.
 constexpr std::chrono::seconds PrefixCacheEntryLifetime {40};
 
 } // namespace
@@ -54,7 +54,8 @@
     if (best == nullptr)
         return std::nullopt;
 
-    // Instances with the same stale report must not all pick the same least one.
+    // Chooses at random among candidates of nearly equal cost, so that instances with the same
+    // stale report do not all choose the same upstream.
     const auto limit = best->total + m_settings.nearEqual
                        + std::max(best->total, Seconds(0)) * m_settings.nearEqualShare;
     std::uint64_t nearEqualCount = 0;
@@ -97,7 +98,7 @@
 
 IndexTime Placement::now() const
 {
-    // One millisecond at the start, since zero stands for never.
+    // Times start at one millisecond because zero means never.
     const auto elapsed = m_clock.now() - m_start + std::chrono::milliseconds(1);
     return std::chrono::duration_cast<IndexTime>(elapsed);
 }
@@ -114,7 +115,7 @@
     }
     for (std::size_t i = 0; i < SampleSize; ++i)
         scratch.add(slots[rng() % slots.size()]);
-    // A sample may hit nothing but excluded or gone upstreams.
+    // If the sample contains only excluded or removed upstreams, all members are added.
     const auto isUsable = [&](std::size_t i) {
         const auto slot = scratch.candidates[i].terms.slot;
         return m_upstreams.isCurrent(slot, m_upstreams.state(slot).epoch)
@@ -208,7 +209,7 @@
         terms.slowness = slowness(state, now);
         terms.stall = stall(state, now);
     }
-    // A slow upstream also works its queue off more slowly.
+    // A slow upstream also processes its queue more slowly.
     const double rate = state.prefillTokensPerSecond / terms.slowness;
     terms.queueWait = queueWait(state, rate, now);
     terms.prefill = Seconds(static_cast<double>(uncachedTokens) / rate);
--- a/Libraries/LibPlacement/Placement.h
+++ b/Libraries/LibPlacement/Placement.h
@@ -7,30 +7,42 @@
 
 namespace Placement {
 
-/// Parts of the decision, each of which can be switched off to see its worth.
+/// Settings of the placement algorithm. Each of its parts can be switched off to measure its
+/// effect.
 struct PlacementSettings
 {
-    /// Blocks that the prefix-cache index has room for; one takes about 120 bytes.
+    /// The number of blocks that the prefix-cache index has room for; each takes about 120 bytes.
     std::size_t prefixIndexCapacity = 65536;
+    /// Credits the upstreams that are expected to have blocks of the prompt cached.
     bool usesPrefixIndex = true;
+    /// Credits the preferred upstreams of each block.
     bool usesPreferredUpstreams = true;
+    /// Increases the number of preferred upstreams with the request rate of the prefix.
     bool scalesPreferredUpstreams = true;
+    /// Adds the requests sent since the upstream's last load report to its load.
     bool usesOwnSends = true;
+    /// Accounts for upstreams that are slower than configured or have stalled.
     bool usesSlowness = true;
+    /// Applies the cache events of upstreams to the prefix-cache index.
     bool usesCacheEvents = true;
+    /// Chooses at random among the candidates of nearly equal cost.
     bool randomises = true;
-    /// How much a missed token weighs beside a waited one: storing it evicts another's.
+    /// The weight of the prefill time relative to the queue wait. It is above 1 because storing
+    /// uncached tokens evicts other cached ones.
     double missWeight = 4;
-    /// Chance that a preferred upstream holds a block that nothing else is known of.
+    /// The assumed probability that a preferred upstream has a block cached if the index has no
+    /// information about it.
     double preferredUpstreamPrior = 0.2;
-    /// Sends of each sibling, as a share of this instance's own, that a load report may miss.
+    /// The assumed number of requests of each sibling that the last load report does not include,
+    /// as a share of this instance's own.
     double siblingShare = 0.1;
-    /// Load that one upstream should carry for one prefix before the prefix gets another preferred
+    /// The utilisation of an upstream by one prefix above which the prefix gets another preferred
     /// upstream.
     double preferredUpstreamUtilisation = 0.4;
-    /// Candidates whose cost lies this share above the least count as equal.
+    /// Candidates count as equal if their cost exceeds the lowest one by at most this fraction of
+    /// it plus nearEqual.
     double nearEqualShare = 0.05;
-    /// Candidates whose cost lies this far above the least count as equal.
+    /// The absolute part of the tolerance within which costs count as equal.
     Seconds nearEqual {0.005};
 };
 
@@ -38,14 +50,14 @@
 struct PlacementRequest
 {
     const PromptBlocks &blocks;
-    /// Added to each candidate's cost, by position in the set; empty adds nothing. A caller
-    /// expresses own capacity first by it.
+    /// Added to the cost of each candidate, by position in the set; empty for none. Callers use it
+    /// to prefer their own capacity.
     std::span<const Seconds> preference;
-    /// Upstreams that were tried already.
+    /// The upstreams that were already tried.
     std::span<const UpstreamSlot> excluded;
 };
 
-/// What a candidate's cost is made of.
+/// The cost of a candidate and its components.
 struct CostTerms
 {
     UpstreamSlot slot = 0;
@@ -55,16 +67,17 @@
     bool isExcluded = false;
     Seconds queueWait {0};
     Seconds prefill {0};
-    /// How many times slower than its settings say the upstream is taken to be; in both terms
-    /// above.
+    /// The estimated slowdown of the upstream relative to its configured speed; queueWait and
+    /// prefill include it.
     double slowness = 1;
-    /// Time without progress beyond what was reckoned.
+    /// The time without progress on waiting requests beyond a grace period.
     Seconds stall {0};
     Seconds preference {0};
     Seconds total {0};
 };
 
-/// A chosen upstream, and the ticket by which the caller reports what became of the request.
+/// A chosen upstream. The caller passes the decision back when it reports the progress of the
+/// request.
 struct Decision
 {
     UpstreamSlot slot = 0;
@@ -76,7 +89,7 @@
     Core::Clock::Monotonic sentAt;
 };
 
-/// Every candidate that was weighed, the chosen first.
+/// All candidates that were evaluated, the chosen one first.
 struct Explanation
 {
     struct Row
@@ -87,7 +100,7 @@
     std::vector<Row> rows;
 };
 
-/// One entry of the prefix-cache index to hand to a sibling.
+/// An entry of the prefix-cache index to be exported to a sibling.
 struct FrequentPrefix
 {
     struct Location
@@ -97,13 +110,13 @@
         std::chrono::milliseconds age {0};
     };
     BlockHash block = 0;
-    /// Requests, decayed; comparable between instances.
+    /// The decayed number of requests; comparable between instances.
     float decayedRequests = 0;
     std::vector<Location> holders;
 };
 
-/// Chooses upstreams by the least expected time to first token. All functions may be called from
-/// several threads. choose() and the notes about requests take no heap memory.
+/// Chooses upstreams by the lowest expected time to first token. All functions are thread-safe.
+/// choose() and the functions that record the progress of requests do not allocate heap memory.
 class Placement
 {
 public:
@@ -112,46 +125,50 @@
 
     /// Adds or updates an upstream, with its incarnation.
     UpstreamSlot noteUpstream(const UpstreamView &view) { return m_upstreams.add(view); }
-    /// A newer incarnation voids everything believed of the upstream; an older one is ignored.
+    /// Records the incarnation of the upstream. A newer one invalidates all estimates and index
+    /// entries of the upstream; an older one is ignored.
     void noteIncarnation(UpstreamSlot slot, std::uint64_t incarnation);
-    /// Voids everything believed of the upstream until noteUpstream() names it again.
+    /// Removes the upstream and invalidates all its estimates and index entries. noteUpstream() may
+    /// add it again.
     void noteRemoved(UpstreamSlot slot) { m_upstreams.remove(slot); }
-    /// How many instances share the upstreams, this one included.
+    /// Sets how many instances share the upstreams, including this one.
     void noteInstanceCount(std::size_t count) { m_instances = std::max<std::size_t>(1, count); }
-    /// The set to pass to choose(), for upstreams that noteUpstream() numbered.
+    /// Creates the set to pass to choose() from slots returned by noteUpstream().
     CandidateSet makeCandidateSet(std::span<const UpstreamSlot> slots) const;
 
-    /// Chooses a candidate that is neither gone nor excluded; empty if there is none. Explains
-    /// itself into `explanation` if given, which takes heap memory.
+    /// Chooses a candidate that is neither removed nor excluded, if there is one. Writes the
+    /// evaluated candidates to `explanation` if given, which allocates heap memory.
     std::optional<Decision> choose(const PlacementRequest &request, const CandidateSet &candidates,
                                    std::mt19937_64 &rng, Explanation *explanation = nullptr);
 
-    /// The request was sent as decided.
+    /// Records that the request was sent to the chosen upstream.
     void noteSent(Decision &decision, const PromptBlocks &blocks);
-    /// The first token came, with the cached tokens that the upstream reported, if it did.
+    /// Records the first token and the number of cached prompt tokens, if the upstream reported it.
     void noteFirstToken(const Decision &decision, const PromptBlocks &blocks,
                         std::optional<std::uint64_t> cachedTokens);
-    /// The answer's end told how many prompt tokens had been cached; for engines that say it only
-    /// then, in place of noteFirstToken()'s argument.
+    /// Records the number of cached prompt tokens for engines that report it only at the end of the
+    /// answer rather than with the first token.
     void noteCachedTokens(const Decision &decision, const PromptBlocks &blocks,
                           std::uint64_t cachedTokens);
-    /// The answer ended after the time since it was sent.
+    /// Records that the answer is complete.
     void noteAnswer(const Decision &decision);
-    /// The request was sent but no first token will come (failed or cancelled).
+    /// Records that a sent request failed or was cancelled before its first token.
     void noteFailed(const Decision &decision);
-    /// Reports of another than the present incarnation are ignored or start a new one.
+    /// Records a load report. One from an older incarnation is ignored; one from a newer
+    /// incarnation starts that incarnation.
     void noteLoadReport(UpstreamSlot slot, const LoadReport &report);
-    /// The upstream stored or evicted the block the given time ago.
+    /// Records that the upstream stored or evicted the block `age` ago.
     void noteCacheEvent(UpstreamSlot slot, std::uint64_t incarnation, BlockHash block,
                         bool isStored, std::chrono::milliseconds age);
 
-    /// The most requested prefixes that this instance itself sent within the time, most requests
-    /// first. A short time gives a sibling that is up what is new, a long one a sibling that
-    /// starts what there is.
+    /// Returns the most frequently requested prefixes for which this instance sent a request in the
+    /// last `within`, the most requested first. A short time serves to update a running sibling, a
+    /// long one to initialise a sibling that is starting.
     std::vector<FrequentPrefix>
     exportFrequentPrefixes(std::size_t limit,
                            std::chrono::milliseconds within = std::chrono::hours(1)) const;
-    /// Takes over a sibling's entries about upstreams whose incarnation is the present one here.
+    /// Imports the entries of a sibling. Holders whose incarnation is not the current one are
+    /// skipped.
     void importFrequentPrefixes(std::span<const FrequentPrefix> entries);
 
     const UpstreamTable &upstreams() const { return m_upstreams; }
@@ -160,32 +177,35 @@
     struct Scratch;
 
     IndexTime now() const;
-    /// Gathers candidates: expected holders, preferred upstreams, and all or a sample of the rest.
+    /// Collects the candidates: expected holders, preferred upstreams, and all other members of the
+    /// set or a random sample of them.
     void gatherCandidates(Scratch &scratch, const PlacementRequest &request,
                           const CandidateSet &candidates, std::mt19937_64 &rng) const;
-    /// Adds what the holders and preferred upstreams of each block are expected to have cached.
+    /// Adds the expected cached tokens of the holders and preferred upstreams of each block.
     void creditBlocks(Scratch &scratch, const PlacementRequest &request,
                       const CandidateSet &candidates) const;
     /// Credits the block at the index to its expected holders.
     void creditHolders(Scratch &scratch, const PrefixCacheEntry &entry, std::size_t block,
                        const CandidateSet &candidates) const;
-    /// Preferred upstreams that a prefix with this many own requests a second should have.
+    /// Returns how many preferred upstreams a prefix should have to which this instance sends
+    /// `rate` requests per second.
     std::size_t preferredUpstreamCount(double rate) const;
-    /// The chance that a block last used then is still cached.
+    /// Returns the probability that a block last used at `lastUse` is still cached.
     static double cachedProbability(IndexTime lastUse, IndexTime now);
-    /// Fills in every term but the cached tokens, which must stand.
+    /// Computes all cost terms. The slot and the expected cached tokens must already be set.
     void computeCost(CostTerms &terms, const PlacementRequest &request,
                      const CandidateSet &candidates, IndexTime now) const;
-    /// Time until the upstream gets to a request sent now: its last report, what was sent since,
-    /// less what it has worked off at the rate (tokens a second).
+    /// Estimates the time until the upstream starts a request sent now, from its last load report
+    /// plus the requests sent since, minus the tokens processed since at `rate` tokens per second.
     Seconds queueWait(const UpstreamState &state, double rate, IndexTime now) const;
-    /// Adjusts how many times longer than reckoned the upstream takes.
+    /// Updates the slowness of the upstream from the time that its first token took.
     void updateSlowness(const Decision &decision, UpstreamState &state, IndexTime now);
-    /// The present factor for an upstream that answers late.
+    /// Returns the current slowness of the upstream: the factor by which its first tokens take
+    /// longer than estimated, which decays towards 1.
     static double slowness(const UpstreamState &state, IndexTime now);
-    /// Time without progress on own requests, beyond a grace.
+    /// Returns the time without progress on this instance's waiting requests beyond a grace period.
     static Seconds stall(const UpstreamState &state, IndexTime now);
-    /// Writes the weighed candidates, the chosen first.
+    /// Writes the evaluated candidates to the explanation, the chosen one first.
     void explain(Explanation &explanation, const Scratch &scratch, UpstreamSlot chosen) const;
 
     const Core::Clock &m_clock;
@@ -194,10 +214,12 @@
     UpstreamTable m_upstreams;
     PrefixCacheIndex m_prefixIndex;
     std::atomic<std::size_t> m_instances {1};
-    /// Upstream time that a request takes, for the width of a prefix.
+    /// Average prefill time of a request in seconds, from which the number of preferred upstreams
+    /// is computed.
     std::atomic<float> m_prefillPerRequest {0.1F};
+    /// Average time in seconds from sending a request to the end of its answer.
     std::atomic<float> m_secondsPerRequest {2};
-    /// How many times longer than reckoned first tokens take over all upstreams.
+    /// Average ratio of actual to estimated time to first token, over all upstreams.
     std::atomic<float> m_averageLateness {1};
 };
 
--- a/Libraries/LibPlacement/PlacementNotes.cpp
+++ b/Libraries/LibPlacement/PlacementNotes.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-/// Share of a new sample in a moving average.
+/// Weight of a new sample in a moving average.
 constexpr float SampleWeight = 0.05F;
-/// Slowness halves its distance from one in this time without a new sample.
+/// Without new samples, the distance of the slowness from 1 halves in this time.
 constexpr Seconds SlownessHalfLife {5.0};
 constexpr float MaxSlowness = 20;
-/// A first token this late is no sign of a stall yet.
+/// A wait for the first token up to this time is not considered a stall.
 constexpr Seconds StallGrace {1.0};
 
 void updateAverage(std::atomic<float> &value, float sample)
@@ -74,7 +74,7 @@
     updateSlowness(decision, state, time);
     if (cachedTokens)
         noteCachedTokens(decision, blocks, *cachedTokens);
-    // The prefill just done left every block in the cache.
+    // After the prefill, all blocks of the prompt are in the cache of the upstream.
     for (const auto hash : blocks.hashes())
         m_prefixIndex.recordHolder(hash, decision.slot, decision.epoch, time);
 }
@@ -124,7 +124,7 @@
 {
     if (!m_settings.usesCacheEvents)
         return;
-    // The epoch is read first: if a new incarnation comes between, the entry is void.
+    // The epoch is read first, so that the entry is invalid if a new incarnation starts meanwhile.
     const auto epoch = m_upstreams.state(slot).epoch.load(std::memory_order_acquire);
     if (!m_upstreams.noteIncarnation(slot, incarnation) || !m_upstreams.isCurrent(slot, epoch))
         return;
@@ -187,7 +187,7 @@
             if (state.incarnation != holder.incarnation || !m_upstreams.isCurrent(*slot, epoch))
                 continue;
             const auto age = std::chrono::duration_cast<IndexTime>(holder.age);
-            // Zero would stand for never.
+            // At least 1, because zero means never.
             const auto lastUse = time - std::min(time - IndexTime(1), age);
             m_prefixIndex.recordHolder(entry.block, *slot, epoch, lastUse);
         }
@@ -196,17 +196,18 @@
 
 void Placement::updateSlowness(const Decision &decision, UpstreamState &state, IndexTime now)
 {
-    // Reckoned time below this is mostly noise.
+    // Estimates below this are mostly noise.
     constexpr Seconds MinExpected {0.1};
     constexpr double SlownessSampleWeight = 0.3;
-    /// Lateness up to this many times the usual is noise.
+    // Lateness up to this multiple of the average is considered noise.
     constexpr double Tolerance = 1.3;
     const Seconds elapsed = m_clock.now() - decision.sentAt;
     const auto expected = std::max(MinExpected, decision.terms.queueWait + decision.terms.prefill);
     const auto lateness =
         std::clamp(elapsed / expected, 1.0 / MaxSlowness, static_cast<double>(MaxSlowness));
     updateAverage(m_averageLateness, static_cast<float>(lateness));
-    // Only an upstream that is late beside the others is slow; when all are late, load is.
+    // An upstream is slow only if it is late compared to the others. If all of them are late, the
+    // cause is load.
     const double typical = std::max(1.0F, m_averageLateness.load(std::memory_order_relaxed));
     const auto sample = std::max(1.0, lateness / (typical * Tolerance));
     const auto previous = slowness(state, now);
--- a/Libraries/LibPlacement/PlacementScratch.h
+++ b/Libraries/LibPlacement/PlacementScratch.h
@@ -4,26 +4,27 @@
 
 namespace Placement {
 
-/// Candidates weighed in one decision.
+/// The maximum number of candidates evaluated in one decision.
 constexpr std::size_t MaxEvaluatedCandidates = 192;
 
-/// A candidate and how far its cached chain is known.
+/// A candidate and the estimate of how much of the prompt it has cached.
 struct EvaluatedCandidate
 {
     CostTerms terms;
-    /// Blocks credited so far; a chain ends at the first block not expected to be cached.
+    /// Number of blocks credited so far. Only a contiguous prefix of the prompt is credited: it
+    /// ends at the first block that is not expected to be cached.
     std::size_t blocks = 0;
-    /// Chance that the last credited block is cached.
+    /// Probability that the last credited block is cached.
     double chance = 1;
     double cachedTokens = 0;
 };
 
-/// Working memory of one decision, kept for each thread so that a decision takes no heap memory.
+/// Working memory of one decision, kept per thread so that decisions do not allocate heap memory.
 struct Placement::Scratch
 {
     std::array<EvaluatedCandidate, MaxEvaluatedCandidates> candidates;
     std::size_t count = 0;
-    /// Index into weighed plus one, valid where the stamp is the present one.
+    /// Index into candidates by upstream slot, valid if stamps[slot] equals stamp.
     std::array<std::uint16_t, MaxUpstreams> index {};
     std::array<std::uint32_t, MaxUpstreams> stamps {};
     std::uint32_t stamp = 0;
@@ -31,15 +32,16 @@
     std::size_t preferredUpstreamCount = 0;
     IndexTime now {0};
 
-    /// Starts a decision.
+    /// Resets the working memory for a new decision.
     void begin(IndexTime time);
-    /// The entry of the upstream, added if there is room; null if not.
+    /// Returns the candidate for the upstream, adding it if necessary, or null if there is no room.
     EvaluatedCandidate *add(UpstreamSlot slot);
-    /// Credits the block at the index to the upstream if its chain reaches up to it.
+    /// Credits the block with index `block` to the upstream, with the probability `chance` that it
+    /// is cached, provided that all blocks before it were credited.
     void credit(UpstreamSlot slot, std::size_t block, double chance);
-    /// Credits every block up to the index to a preferred upstream of the block.
+    /// Credits all blocks up to index `block` to an upstream that is preferred for that block.
     void creditPreferredUpstream(UpstreamSlot slot, std::size_t block, double chance);
-    /// Whether the position is among the present preferred upstreams.
+    /// Whether the position is one of the current preferred upstreams.
     bool isPreferred(std::size_t position) const;
 };
 
--- a/Libraries/LibPlacement/PrefixCacheIndex.cpp
+++ b/Libraries/LibPlacement/PrefixCacheIndex.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Decayed requests fall to 1/e in this time. Short, so that a shift of the frequent prefixes shows
-/// in seconds.
+/// The time in which decayed requests fall to 1/e. It is short so that the index follows a change
+/// of the frequent prefixes within seconds.
 constexpr std::chrono::duration<double> RequestDecayTime {10.0};
 
 double decayedRequestsAt(const PrefixCacheEntry &entry, IndexTime now)
@@ -19,7 +19,8 @@
     return entry.decayedRequests * std::exp(-age / RequestDecayTime);
 }
 
-/// The place of the upstream among the holders: its own, a free one, or the least recently used.
+/// Returns the array element for the upstream: its existing one, or an unused or the least recently
+/// used one, which is cleared.
 Holder &findOrReplaceHolder(PrefixCacheEntry &entry, UpstreamSlot slot)
 {
     Holder *target = entry.holders.data();
--- a/Libraries/LibPlacement/PrefixCacheIndex.h
+++ b/Libraries/LibPlacement/PrefixCacheIndex.h
@@ -10,63 +10,66 @@
 
 namespace Placement {
 
-/// The dense number that an upstream has in one UpstreamTable.
+/// The index of an upstream in an UpstreamTable.
 using UpstreamSlot = std::uint32_t;
 
-/// Time since the index was made.
+/// Time since the owner of the index was created, plus one millisecond; zero means never.
 using IndexTime = std::chrono::duration<std::uint32_t, std::milli>;
 
 /// An upstream that is expected to have one block cached.
 struct Holder
 {
     UpstreamSlot slot = 0;
-    /// The upstream's epoch when the entry was made; zero marks a free place. An entry of another
-    /// epoch than the present one is void.
+    /// The upstream's epoch when the holder was recorded; zero marks an unused element. A holder is
+    /// invalid if the upstream has a different epoch now.
     std::uint32_t epoch = 0;
-    /// When the block was last known to be used there.
+    /// The time of the last known use of the block at the upstream.
     IndexTime lastUse {0};
 };
 
-/// Holders kept for one block; the least recently used gives way to a new one.
+/// The maximum number of holders per block; a new one replaces the least recently used.
 constexpr std::size_t MaxHolders = 8;
 
-/// What is known of one block: its holders and how often it is requested.
+/// The index entry of one block: its expected holders and its request rate.
 struct PrefixCacheEntry
 {
     BlockHash block = 0;
-    /// Requests for the block, decaying with RequestDecayTime.
+    /// The number of requests for the block, decaying with RequestDecayTime.
     float decayedRequests = 0;
+    /// The time up to which decayedRequests has been decayed.
     IndexTime decayedAt {0};
-    /// When this instance itself last sent a request for the block.
+    /// The time at which this instance last sent a request for the block.
     IndexTime usedAt {0};
     std::array<Holder, MaxHolders> holders {};
 
-    /// The requests, decayed up to now.
+    /// Returns the number of requests, decayed up to now.
     float decayedRequestsNow(IndexTime now) const;
-    /// Requests a second for the block, as this instance sees them.
+    /// Returns the requests per second for the block as seen by this instance.
     double rate(IndexTime now) const;
 };
 
-/// A bounded table of entries. All memory is taken at construction; the entry of a bucket with the
-/// fewest decayed requests gives way. Safe from several threads: each shard has its own lock, held
-/// for one bucket's work.
+/// The prefix-cache index: a bounded hash table that records which upstreams are expected to have
+/// which blocks cached. All memory is allocated at construction. When a bucket is full, the entry
+/// with the fewest decayed requests is replaced. Thread-safe: each shard has its own lock, held
+/// while one bucket is accessed.
 class PrefixCacheIndex
 {
 public:
-    /// Room for about this many blocks.
+    /// Creates an index with room for about `capacity` blocks.
     explicit PrefixCacheIndex(std::size_t capacity);
 
-    /// Copies the entry of the block. Returns false if there is none.
+    /// Copies the entry of the block to `entry`. Returns false if there is none.
     bool find(BlockHash block, PrefixCacheEntry &entry) const;
-    /// Counts a request for the block and marks the upstream as a holder used now.
+    /// Counts a request for the block and records the upstream as a holder that used it now.
     void recordUse(BlockHash block, UpstreamSlot slot, std::uint32_t epoch, IndexTime now);
-    /// Marks the upstream as a holder last used at the time, unless a later use is known.
+    /// Records the upstream as a holder that last used the block at the given time, unless a later
+    /// use is known.
     void recordHolder(BlockHash block, UpstreamSlot slot, std::uint32_t epoch, IndexTime lastUse);
-    /// Forgets that the upstream holds the block, unless a use after the time is known.
+    /// Removes the upstream from the holders of the block, unless it used the block after `upTo`.
     void removeHolder(BlockHash block, UpstreamSlot slot, IndexTime upTo);
-    /// Takes in decayed requests that another instance saw.
+    /// Imports the decayed requests seen by another instance; the larger of both values is kept.
     void importRequests(BlockHash block, float decayedRequests, IndexTime now);
-    /// Calls visit with a copy of every entry. Takes the shards' locks one at a time.
+    /// Calls `visit` with a copy of every entry. No lock is held during the call.
     void forEach(const std::function<void(const PrefixCacheEntry &)> &visit) const;
 
 private:
@@ -84,14 +87,15 @@
     };
 
     Shard &shardOf(BlockHash block) const { return m_shards[block % ShardCount]; }
-    /// The bucket of the block in its shard.
+    /// Returns the bucket of the block in its shard.
     Bucket &bucketOf(Shard &shard, BlockHash block) const
     {
         return shard.buckets[(block / ShardCount) % shard.buckets.size()];
     }
-    /// The entry of the block in the bucket, or null.
+    /// Returns the entry of the block in the bucket, or null if there is none.
     static PrefixCacheEntry *findIn(Bucket &bucket, BlockHash block);
-    /// The entry of the block; a new one replaces that with the fewest decayed requests.
+    /// Returns the entry of the block. A new entry replaces the one with the fewest decayed
+    /// requests.
     static PrefixCacheEntry &findOrReplace(Bucket &bucket, BlockHash block, IndexTime now);
 
     std::unique_ptr<Shard[]> m_shards;
--- a/Libraries/LibPlacement/PromptBlocks.cpp
+++ b/Libraries/LibPlacement/PromptBlocks.cpp
@@ -9,8 +9,8 @@
 
 constexpr std::size_t BlockBytes = BlockTokens * BytesPerToken;
 
-/// The seed of a scope's chains. Each part is hashed apart, so that no two lists of parts run
-/// together.
+/// Returns the seed of the hash chains of a scope. The members are hashed one after the other
+/// rather than concatenated, so that different members never give the same input.
 BlockHash scopeSeed(const CacheScope &scope)
 {
     auto seed = Core::hash64(scope.team.value());
--- a/Libraries/LibPlacement/PromptBlocks.h
+++ b/Libraries/LibPlacement/PromptBlocks.h
@@ -9,18 +9,18 @@
 
 namespace Placement {
 
-/// Tokens in one cache block.
+/// Number of tokens in one cache block.
 constexpr std::uint64_t BlockTokens = 2000;
-/// Prompt bytes that stand for one token, since the router does not run a tokenizer.
+/// Assumed number of prompt bytes per token, since the router does not run a tokenizer.
 constexpr std::uint64_t BytesPerToken = 4;
-/// Blocks of a prompt that are looked at; what lies behind counts as never cached.
+/// The maximum number of blocks per prompt; the rest of the prompt counts as never cached.
 constexpr std::size_t MaxBlocks = 64;
 
-/// The chained hash of a prompt up to the end of one block, under one cache scope.
+/// The chained hash of a prompt up to the end of one block, within one cache scope.
 using BlockHash = std::uint64_t;
 
-/// Whose cache entries a prompt may meet. Every part seeds the chain, so that another team's or
-/// older weights' entries cannot be named.
+/// The scope within which prompts share cache entries. All members seed the hash chain, so that a
+/// prompt never matches the entries of another team, another model or older weights.
 struct CacheScope
 {
     Core::TeamId team;
@@ -28,18 +28,19 @@
     std::string weightsVersion;
 };
 
-/// A prompt cut into blocks, each named by a hash of everything up to its end. Holds no heap
-/// memory.
+/// A prompt divided into blocks, each identified by a hash of the prompt up to the block's end.
+/// Does not allocate heap memory.
 class PromptBlocks
 {
 public:
-    /// Cuts the prompt. A last part shorter than a block is never cached and gets no hash.
+    /// Divides the prompt into blocks. A remainder shorter than a block is never cached and has no
+    /// hash.
     static PromptBlocks create(const CacheScope &scope, std::string_view prompt);
-    /// Blocks whose chained hashes are known already; those beyond MaxBlocks count as tail.
+    /// Creates blocks from chained hashes computed before. Blocks beyond MaxBlocks count as tail.
     static PromptBlocks fromHashes(std::span<const BlockHash> hashes, std::uint64_t tailTokens);
 
     std::span<const BlockHash> hashes() const { return {m_hashes.data(), m_count}; }
-    /// Tokens behind the last block.
+    /// Returns the number of tokens after the last block.
     std::uint64_t tailTokens() const { return m_tailTokens; }
     std::uint64_t promptTokens() const { return m_count * BlockTokens + m_tailTokens; }
 
--- a/Tests/LibPlacement/TestCandidateSet.cpp
+++ b/Tests/LibPlacement/TestCandidateSet.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// A table of upstreams numbered in the order of the names, and the set of all of them.
+/// Adds upstreams with the given names to the table, in this order, and returns the set of all of
+/// them. The upstream "big" has weight 3, the others have weight 1.
 CandidateSet makeSet(UpstreamTable &table, const std::vector<std::string> &names)
 {
     std::vector<UpstreamSlot> slots;
@@ -67,7 +68,7 @@
     constexpr int Draws = 6000;
     for (int i = 0; i < Draws; ++i)
         big += preferredUpstreamOf(set, table, rng()) == "big" ? 1 : 0;
-    // Weight 3 of 6.
+    // The upstream "big" has 3 of the total weight of 6.
     CHECK(big > Draws * 45 / 100);
     CHECK(big < Draws * 55 / 100);
 }
--- a/Tests/LibPlacement/TestPrefixCacheIsolation.cpp
+++ b/Tests/LibPlacement/TestPrefixCacheIsolation.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t Engines = 5;
 
-/// A cache event on its way.
+/// A cache event that has not been delivered yet.
 struct DelayedEvent
 {
     UpstreamSlot slot;
@@ -20,7 +20,8 @@
     bool isStored;
 };
 
-/// Engines that crash, and one instance's knowledge of them, told late, out of order and in part.
+/// Simulates engines that crash and an instance whose events about them are delayed, reordered and
+/// partly lost.
 class CacheHistory
 {
 public:
@@ -28,7 +29,7 @@
         : m_rng(seed)
     {
         PlacementSettings settings;
-        // Without preferred upstreams, what is expected cached comes from the index alone.
+        // Without preferred upstreams, the expected cached tokens come from the index alone.
         settings.usesPreferredUpstreams = false;
         m_placement = std::make_unique<::Placement::Placement>(m_clock, settings);
         for (std::size_t i = 0; i < Engines; ++i)
@@ -91,10 +92,10 @@
         REQUIRE(decision);
         const auto engine = decision->slot;
         REQUIRE(decision->incarnation == m_incarnations[engine]);
-        // What was stored is kept by scope and text, so that a hash shared by two scopes shows.
+        // Stored prefixes are tracked by scope and text, which detects a hash shared by two scopes.
         const auto name = scope.team.value() + "/" + scope.weightsVersion + "/" + text[0];
         const auto maxCachedTokens = m_storedPrefixes[engine].contains(name) ? 2 * BlockTokens : 0;
-        // What this incarnation ever stored bounds what may be counted on.
+        // The expected tokens are limited to what this incarnation has ever stored.
         REQUIRE(decision->expectedCachedTokens <= maxCachedTokens);
 
         m_placement->noteSent(*decision, blocks);
@@ -105,7 +106,7 @@
             m_delayedAnswers.emplace_back(*decision, blocks);
         else
             m_placement->noteFirstToken(*decision, blocks, 0);
-        // Answers of dead incarnations come too.
+        // Answers of ended incarnations are delivered, too.
         if (!m_delayedAnswers.empty() && m_rng() % 2 == 0) {
             const auto [old, oldBlocks] = m_delayedAnswers.back();
             m_delayedAnswers.pop_back();
