--- a/Libraries/LibAdmission/Controller.cpp
+++ b/Libraries/LibAdmission/Controller.cpp
@@ -20,8 +20,9 @@
             floors += it.floorShare;
         if (owned <= 1 + ShareTolerance && floors <= 1 + ShareTolerance)
             continue;
-        return Core::Error(Core::ErrorKind::ConfigurationInvalid,
-                           "shares of group " + group.id.value() + " exceed the whole");
+        return Core::Error(Core::ErrorKind::ConfigurationInvalid, "owned or floor shares of group "
+                                                                      + group.id.value()
+                                                                      + " add up to more than 1");
     }
     return std::nullopt;
 }
--- a/Libraries/LibAdmission/GroupAdmission.cpp
+++ b/Libraries/LibAdmission/GroupAdmission.cpp
@@ -170,16 +170,20 @@
     const auto team = m_scheduler->teamIndex(ticket.team);
     const auto cls = m_scheduler->classIndex(ticket.priorityClass);
     if (!team || !cls)
-        return Core::Error(Core::ErrorKind::Forbidden, "the team has no contract with the group");
+        return Core::Error(Core::ErrorKind::Forbidden,
+                           "the group has no contract for the team or the priority class");
     const auto &policy = m_policy.teams[*team];
     if (policy.ownedShare <= 0 && !policy.mayBorrow)
-        return Core::Error(Core::ErrorKind::Forbidden, "the team owns nothing and may not borrow");
+        return Core::Error(Core::ErrorKind::Forbidden,
+                           "the team owns no slots of the group and may not borrow");
     if (!ticket.resumed && !m_scheduler->hasQueueRoom(*cls, *team))
-        return Core::Error(Core::ErrorKind::Overloaded, "the queue is full");
+        return Core::Error(Core::ErrorKind::Overloaded,
+                           "the queue has no room for another request of the team");
     const auto ready = now + m_scheduler->expectedWait(*cls, *team)
                        + m_scheduler->expectedFirstToken(*cls, *team, ticket);
     if (ticket.deadline && ready > *ticket.deadline)
-        return Core::Error(Core::ErrorKind::DeadlineUnreachable, "the queue is too long");
+        return Core::Error(Core::ErrorKind::DeadlineUnreachable,
+                           "the estimated wait and time to first token exceed the deadline");
     return std::nullopt;
 }
 
@@ -193,7 +197,8 @@
 {
     auto next = std::make_unique<SlotScheduler>(m_policy);
     for (auto &request : m_scheduler->moveTo(*next)) {
-        Core::Error refusal(Core::ErrorKind::Forbidden, "the configuration has changed");
+        Core::Error refusal(Core::ErrorKind::Forbidden,
+                            "the new configuration no longer has the team or the priority class");
         refuse(actions, std::move(request), std::move(refusal));
     }
     m_scheduler = std::move(next);
@@ -203,7 +208,8 @@
 void GroupAdmission::dispatch(GroupActions &actions, Core::Clock::Monotonic now)
 {
     while (auto unreachable = m_scheduler->takeUnreachable(now)) {
-        Core::Error refusal(Core::ErrorKind::DeadlineUnreachable, "the target can not be met");
+        Core::Error refusal(Core::ErrorKind::DeadlineUnreachable,
+                            "the deadline can no longer be met");
         refuse(actions, std::move(*unreachable), std::move(refusal));
     }
     const auto share = m_share.available(now);
--- a/Libraries/LibPlacement/UpstreamTable.cpp
+++ b/Libraries/LibPlacement/UpstreamTable.cpp
@@ -69,7 +69,7 @@
     auto it = m_slots.find(view.id);
     if (it == m_slots.end()) {
         if (m_ids.size() == MaxUpstreams)
-            throw Core::Error(Core::ErrorKind::Internal, "too many upstreams");
+            throw Core::Error(Core::ErrorKind::Internal, "the upstream table is full");
         it = m_slots.emplace(view.id, static_cast<UpstreamSlot>(m_ids.size())).first;
         m_ids.push_back(view.id);
     }
--- a/Tests/LibAdmission/TestController.cpp
+++ b/Tests/LibAdmission/TestController.cpp
@@ -88,7 +88,7 @@
 
 } // namespace
 
-TEST_CASE("urgent work takes the next free slot in a flood of overnight work")
+TEST_CASE("an urgent request gets the next free slot ahead of queued overnight requests")
 {
     Fixture fixture(4);
     for (int n = 0; n < 40; ++n)
@@ -99,7 +99,7 @@
     CHECK(fixture.granted.back().priorityClass == urgent);
 }
 
-TEST_CASE("overnight work keeps its floor in a flood of urgent work")
+TEST_CASE("overnight requests keep their floor share under a backlog of urgent requests")
 {
     Fixture fixture(10);
     for (int n = 0; n < 200; ++n)
@@ -133,7 +133,7 @@
     CHECK(fixture.count(other, urgent) == 8);
 }
 
-TEST_CASE("a borrower's preemptible work yields to the owner at once")
+TEST_CASE("a borrower's preemptible request is preempted at once for the owner")
 {
     Fixture fixture(4, 0.5);
     for (int n = 0; n < 8; ++n)
@@ -145,7 +145,7 @@
     CHECK(fixture.granted.back().team == owner);
 }
 
-TEST_CASE("a team below its own capacity finds a slot free beside a flood of borrowed work")
+TEST_CASE("a slot is kept free of borrowed work for a team below its own capacity")
 {
     Fixture fixture(40);
     for (int n = 0; n < 4; ++n)
@@ -160,7 +160,7 @@
     CHECK(fixture.granted.back().team == owner);
 }
 
-TEST_CASE("urgent work finds a slot free beside a flood of overnight work")
+TEST_CASE("a slot is kept free of overnight work for urgent requests")
 {
     Fixture fixture(40);
     for (int n = 0; n < 4; ++n)
@@ -185,7 +185,7 @@
     CHECK(fixture.granted.size() == 2);
 }
 
-TEST_CASE("one flooding team leaves room in the queue for another")
+TEST_CASE("a burst of one team leaves room in the queue for another team")
 {
     Fixture fixture(1, 0.5, 16);
     for (int n = 0; n < 1000; ++n)
@@ -197,7 +197,7 @@
     CHECK(fixture.controller->status(engines).waiting == 9);
 }
 
-TEST_CASE("work that can not meet its target is refused early")
+TEST_CASE("requests that cannot meet their deadline are refused early")
 {
     Fixture fixture(1);
     const auto deadline = fixture.clock.now() + 100ms;
@@ -228,7 +228,7 @@
     CHECK(fixture.granted.size() == 2);
 }
 
-TEST_CASE("a team's rate over cut-off siblings adds up to its limit")
+TEST_CASE("the rates of a team at partitioned siblings add up to its limit")
 {
     constexpr std::uint32_t Limit = 80;
     std::size_t granted = 0;
@@ -251,7 +251,7 @@
     CHECK(granted == Limit);
 }
 
-TEST_CASE("slots follow the demand between siblings and come back when the link is cut")
+TEST_CASE("slots are lent according to demand and return when the siblings are partitioned")
 {
     Core::ManualClock clock;
     Fixture fixture(64);
@@ -277,7 +277,7 @@
     CHECK(b->status(engines).share == 32);
 }
 
-TEST_CASE("concurrent callers get one decision each and never more than the share runs")
+TEST_CASE("concurrent requests get one decision each and never exceed the share")
 {
     Core::ManualClock clock;
     Fixture fixture(8, 0.5, 100000);
--- a/Tests/LibAdmission/TestFairShare.cpp
+++ b/Tests/LibAdmission/TestFairShare.cpp
@@ -23,7 +23,7 @@
     }
 }
 
-TEST_CASE("targets move slots to where the entitled demand is, not to where a flood lands")
+TEST_CASE("targets follow the demand of entitled teams, not the largest demand")
 {
     const Core::PriorityClassId urgent("urgent");
     const Core::TeamId small("small");
@@ -41,7 +41,7 @@
     CHECK(targets.slots[1] == Approx(20));
 }
 
-TEST_CASE("a flood does not draw slots to the instance that already runs more of it")
+TEST_CASE("excess demand does not move slots to the instance with the larger part of it")
 {
     const Core::PriorityClassId urgent("urgent");
     const Core::TeamId large("large");
--- a/Tests/LibAdmission/TestLeasedShare.cpp
+++ b/Tests/LibAdmission/TestLeasedShare.cpp
@@ -89,7 +89,7 @@
 
 } // namespace
 
-TEST_CASE("shares never add up to more than the whole under loss, doubling and reordering")
+TEST_CASE("shares never exceed the total under message loss, duplication and reordering")
 {
     std::uint32_t maxBorrowed = 0;
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
@@ -115,7 +115,7 @@
     CHECK(maxBorrowed > 0);
 }
 
-TEST_CASE("a quantity smaller than the number of siblings gives each one")
+TEST_CASE("each sibling has a safe share of 1 if the quantity is smaller than their number")
 {
     std::uint32_t sum = 0;
     for (std::uint32_t n = 0; n < 8; ++n) {
--- a/Tests/LibAdmission/TestRetries.cpp
+++ b/Tests/LibAdmission/TestRetries.cpp
@@ -11,7 +11,7 @@
 using namespace Admission;
 using namespace std::chrono_literals;
 
-TEST_CASE("retries stay a share of successes when upstreams fail")
+TEST_CASE("retries stay within a share of the successes when upstreams fail")
 {
     Core::ManualClock clock;
     RetryBudget budget({.share = 0.1, .minPerSecond = 1, .burst = 5});
@@ -87,7 +87,7 @@
     }
 }
 
-TEST_CASE("a request resent to several instances costs a bounded number of upstreams")
+TEST_CASE("a poison request resent to several instances crashes a bounded number of upstreams")
 {
     constexpr std::size_t Instances = 6;
     constexpr std::size_t Upstreams = 18;
@@ -132,7 +132,7 @@
     CHECK(maxCrashedUpstreams == SuspectSettings {}.crashLimit);
 }
 
-TEST_CASE("an answer clears a request of the crashes before it, also at siblings")
+TEST_CASE("an answer clears the earlier crashes of a request, also at siblings")
 {
     Core::ManualClock clock;
     SuspectTable table(clock, {});
--- a/Tests/LibPlacement/TestBench.cpp
+++ b/Tests/LibPlacement/TestBench.cpp
@@ -5,7 +5,7 @@
 
 using namespace Bench;
 
-TEST_CASE("virtual time runs events in order of time, then of scheduling")
+TEST_CASE("events run in order of their time, then of scheduling")
 {
     Core::ManualClock clock;
     EventQueue queue(clock);
@@ -28,7 +28,7 @@
     CHECK(cache.match(second) == 2);
 }
 
-TEST_CASE("a fake engine serves urgent work first and a crash empties it")
+TEST_CASE("a fake engine serves urgent requests first and a crash clears its cache")
 {
     Core::ManualClock clock;
     EventQueue queue(clock);
@@ -51,7 +51,7 @@
     CHECK(engine.cache().match(chain) == 0);
 }
 
-TEST_CASE("the same seed makes the same work")
+TEST_CASE("the same seed generates the same workload")
 {
     WorkloadSettings settings;
     settings.teams = {{"a", 1}, {"b", 3}};
--- a/Tests/LibPlacement/TestCandidateSet.cpp
+++ b/Tests/LibPlacement/TestCandidateSet.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("instances that numbered the upstreams differently agree on homes")
+TEST_CASE("instances that numbered the upstreams differently agree on preferred upstreams")
 {
     UpstreamTable first;
     UpstreamTable second;
@@ -44,7 +44,7 @@
     }
 }
 
-TEST_CASE("a leaving upstream moves only its own prefixes")
+TEST_CASE("removing an upstream reassigns only its own prefixes")
 {
     UpstreamTable first;
     UpstreamTable second;
@@ -59,7 +59,7 @@
     }
 }
 
-TEST_CASE("homes follow the weights")
+TEST_CASE("preferred upstreams are distributed by weight")
 {
     UpstreamTable table;
     const auto set = makeSet(table, {"big", "b", "c", "d"});
@@ -73,7 +73,7 @@
     CHECK(big < Draws * 55 / 100);
 }
 
-TEST_CASE("the first home of many is the first of the homes ranked one by one")
+TEST_CASE("the selection of preferred upstreams matches a full ranking")
 {
     UpstreamTable table;
     std::vector<std::string> names {"big"};
--- a/Tests/LibPlacement/TestPlacement.cpp
+++ b/Tests/LibPlacement/TestPlacement.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a prompt goes back to where its prefix was prefilled")
+TEST_CASE("a prompt is sent to the upstream that prefilled its prefix")
 {
     Fixture fixture(12);
     auto first = fixture.choose({fixture.blocks, {}, {}});
@@ -48,7 +48,7 @@
     CHECK(again->expectedCachedTokens > 3 * BlockTokens);
 }
 
-TEST_CASE("a cached prefix is left for an idle upstream when its holder is swamped")
+TEST_CASE("an idle upstream is preferred to an overloaded holder of the prefix")
 {
     Fixture fixture(3);
     auto first = fixture.choose({fixture.blocks, {}, {}});
@@ -59,7 +59,7 @@
     CHECK(fixture.choose({fixture.blocks, {}, {}})->slot != first->slot);
 }
 
-TEST_CASE("excluded and gone upstreams are not chosen")
+TEST_CASE("excluded and removed upstreams are not chosen")
 {
     Fixture fixture(3);
     const std::array tried {fixture.slots[0]};
@@ -70,7 +70,7 @@
     CHECK_FALSE(fixture.choose({fixture.blocks, {}, tried}));
 }
 
-TEST_CASE("the caller's preference decides among like candidates")
+TEST_CASE("the caller's preference decides between equal candidates")
 {
     Fixture fixture(3);
     const std::array<Seconds, 3> preference {Seconds(5), Seconds(0), Seconds(5)};
@@ -90,7 +90,7 @@
         CHECK(count < 200);
 }
 
-TEST_CASE("an upstream that stops answering is avoided before any report says so")
+TEST_CASE("an upstream that stops answering is avoided before a load report shows it")
 {
     Fixture fixture(4);
     auto first = fixture.choose({fixture.blocks, {}, {}});
@@ -116,7 +116,7 @@
     }
 }
 
-TEST_CASE("a sibling that takes the hot beliefs over chooses alike")
+TEST_CASE("a sibling that imports the frequent prefixes makes the same choice")
 {
     Fixture warmFixture(12);
     auto first = warmFixture.choose({warmFixture.blocks, {}, {}});
@@ -131,7 +131,7 @@
     CHECK(decision->expectedCachedTokens > 3 * BlockTokens);
 }
 
-TEST_CASE("decisions and notes run side by side on several threads")
+TEST_CASE("decisions and recorded results may be concurrent")
 {
     Fixture fixture(100);
     const auto work = [&](std::uint64_t seed) {
--- a/Tests/LibPlacement/TestPrefixCacheIsolation.cpp
+++ b/Tests/LibPlacement/TestPrefixCacheIsolation.cpp
@@ -126,7 +126,8 @@
 
 } // namespace
 
-TEST_CASE("a decision never counts on a dead incarnation, another team or older weights")
+TEST_CASE(
+    "expected cached tokens never come from an ended incarnation, another team or older weights")
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         INFO("seed " << seed);
--- a/Tests/LibPlacement/TestPromptBlocks.cpp
+++ b/Tests/LibPlacement/TestPromptBlocks.cpp
@@ -24,7 +24,7 @@
     CHECK(one.promptTokens() == 2 * Placement::BlockTokens + 4);
 }
 
-TEST_CASE("another team, model or weights version names other pieces")
+TEST_CASE("different teams, models or weights versions give different block hashes")
 {
     const auto base = PromptBlocks::create(baseScope, guide).hashes()[0];
     for (const auto &scope : {CacheScope {Core::TeamId("b"), baseScope.model, "v1"},
@@ -34,7 +34,7 @@
         CHECK(PromptBlocks::create(scope, guide).hashes()[0] != base);
 }
 
-TEST_CASE("pieces beyond the limit count as tail")
+TEST_CASE("blocks beyond the limit count as tail")
 {
     std::string prompt;
     for (std::size_t i = 0; i < Placement::MaxBlocks + 2; ++i)
