--- a/Libraries/LibPlacement/Placement.cpp
+++ b/Libraries/LibPlacement/Placement.cpp
@@ -166,10 +166,10 @@
     for (const auto &holder : entry.holders) {
         if (!m_upstreams.isCurrent(holder.slot, holder.epoch) || !candidates.contains(holder.slot))
             continue;
-        auto chance = cachedProbability(holder.lastUse, scratch.now);
+        auto probability = cachedProbability(holder.lastUse, scratch.now);
         if (scratch.isPreferred(candidates.position(holder.slot)))
-            chance = std::max(chance, m_settings.preferredUpstreamPrior);
-        scratch.credit(holder.slot, block, chance);
+            probability = std::max(probability, m_settings.preferredUpstreamPrior);
+        scratch.credit(holder.slot, block, probability);
     }
 }
 
--- a/Libraries/LibPlacement/PlacementScratch.cpp
+++ b/Libraries/LibPlacement/PlacementScratch.cpp
@@ -28,25 +28,25 @@
     return &candidates[count++];
 }
 
-void Placement::Scratch::credit(UpstreamSlot slot, std::size_t block, double chance)
+void Placement::Scratch::credit(UpstreamSlot slot, std::size_t block, double probability)
 {
     auto *entry = add(slot);
     if (entry == nullptr || entry->blocks != block)
         return;
-    entry->chance = std::min(entry->chance, chance);
-    entry->cachedTokens += entry->chance * static_cast<double>(BlockTokens);
+    entry->probability = std::min(entry->probability, probability);
+    entry->cachedTokens += entry->probability * static_cast<double>(BlockTokens);
     ++entry->blocks;
 }
 
 void Placement::Scratch::creditPreferredUpstream(UpstreamSlot slot, std::size_t block,
-                                                 double chance)
+                                                 double probability)
 {
     auto *entry = add(slot);
     if (entry == nullptr)
         return;
     entry->terms.isPreferred = true;
     while (entry->blocks <= block)
-        credit(slot, entry->blocks, chance);
+        credit(slot, entry->blocks, probability);
 }
 
 bool Placement::Scratch::isPreferred(std::size_t position) const
--- a/Libraries/LibPlacement/PlacementScratch.h
+++ b/Libraries/LibPlacement/PlacementScratch.h
@@ -15,7 +15,7 @@
     /// ends at the first block that is not expected to be cached.
     std::size_t blocks = 0;
     /// Probability that the last credited block is cached.
-    double chance = 1;
+    double probability = 1;
     double cachedTokens = 0;
 };
 
@@ -36,11 +36,11 @@
     void begin(IndexTime time);
     /// Returns the candidate for the upstream, adding it if necessary, or null if there is no room.
     EvaluatedCandidate *add(UpstreamSlot slot);
-    /// Credits the block with index `block` to the upstream, with the probability `chance` that it
-    /// is cached, provided that all blocks before it were credited.
-    void credit(UpstreamSlot slot, std::size_t block, double chance);
+    /// Credits the block with index `block` to the upstream if all blocks before it were credited.
+    /// `probability` is the probability that the block is cached.
+    void credit(UpstreamSlot slot, std::size_t block, double probability);
     /// Credits all blocks up to index `block` to an upstream that is preferred for that block.
-    void creditPreferredUpstream(UpstreamSlot slot, std::size_t block, double chance);
+    void creditPreferredUpstream(UpstreamSlot slot, std::size_t block, double probability);
     /// Whether the position is one of the current preferred upstreams.
     bool isPreferred(std::size_t position) const;
 };
