--- a/Libraries/LibAdmission/DelayEstimate.h
+++ b/Libraries/LibAdmission/DelayEstimate.h
@@ -4,22 +4,22 @@
 
 namespace Admission {
 
-/// How much later than expected first tokens come, and how much that varies, as moving averages.
+/// Moving averages of the delay of first tokens beyond their estimate and of its mean deviation.
 class DelayEstimate
 {
 public:
-    /// One first token came this much after it was expected; negative when it came before.
-    void note(std::chrono::duration<double> delay);
-    /// Lets the estimate fade unless something was noted since the last call, so that work which
-    /// is refused altogether is tried again. Call at a steady pace.
-    void fade();
-    /// The mean and a margin for the spread; never negative.
+    /// Adds the delay of one first token; negative if the token was earlier than estimated.
+    void addSample(std::chrono::duration<double> delay);
+    /// Reduces the estimate unless a sample was added since the last call, so that a class whose
+    /// requests are all refused is eventually tried again. Must be called at regular intervals.
+    void decay();
+    /// Returns the mean delay plus a margin for its spread; never negative.
     std::chrono::microseconds withMargin() const;
 
 private:
     std::chrono::duration<double> m_mean {0};
     std::chrono::duration<double> m_spread {0};
-    bool m_isFresh = false;
+    bool m_hasNewSample = false;
 };
 
 } // namespace Admission
--- a/Tests/LibAdmission/TestFairShare.cpp
+++ b/Tests/LibAdmission/TestFairShare.cpp
@@ -23,7 +23,7 @@
     }
 }
 
-TEST_CASE("targets move slots to where the entitled demand is, not to where a flood lands")
+TEST_CASE("targets follow the demand of entitled teams, not the largest demand")
 {
     const Core::PriorityClassId urgent("urgent");
     const Core::TeamId small("small");
@@ -33,7 +33,7 @@
         .classes = {{.id = urgent}},
         .teams = {{.id = small, .ownedShare = 0.5}, {.id = large, .ownedShare = 0.5}},
         .slots = 40};
-    // The small team's demand is all at the first instance, the large one's flood at the second.
+    // The small team's demand is at the first instance, the large team's at the second.
     const std::vector<std::vector<TeamDemand>> demands {{{small, urgent, 20}},
                                                         {{large, urgent, 1000}}};
     const auto targets = fairTargets(policy, demands);
@@ -41,7 +41,7 @@
     CHECK(targets.slots[1] == Approx(20));
 }
 
-TEST_CASE("a flood does not draw slots to the instance that already runs more of it")
+TEST_CASE("excess demand does not move slots to the instance with the larger part of it")
 {
     const Core::PriorityClassId urgent("urgent");
     const Core::TeamId large("large");
--- a/Tests/LibAdmission/TestLeasedShare.cpp
+++ b/Tests/LibAdmission/TestLeasedShare.cpp
@@ -23,10 +23,11 @@
     std::uint64_t acknowledged = 0;
 };
 
-/// Siblings that lend to each other at random over a link that loses, doubles and reorders.
-struct Exchange
+/// Siblings that lend to each other at random over a link that loses, duplicates and reorders
+/// messages.
+struct LeaseExchange
 {
-    explicit Exchange(std::uint64_t seed)
+    explicit LeaseExchange(std::uint64_t seed)
         : rng(seed)
     {
         for (std::uint32_t n = 0; n < Siblings; ++n)
@@ -45,9 +46,9 @@
         it.to = (it.from + 1 + rng() % (Siblings - 1)) % Siblings;
         it.sequence = ++sequence[it.from][it.to];
         sentAt[it.from][it.to].push_back(now);
-        const auto heard = received[it.from][it.to];
-        if (heard > 0)
-            it.lease = shares[it.from].lend(name(it.to), rng() % 20, heard, now);
+        const auto lastReceived = received[it.from][it.to];
+        if (lastReceived > 0)
+            it.lease = shares[it.from].lend(name(it.to), rng() % 20, lastReceived, now);
         it.acknowledged = shares[it.from].acknowledge(name(it.to), 0, now);
         link.push_back(it);
     }
@@ -59,7 +60,7 @@
         const auto position = link.begin() + static_cast<std::ptrdiff_t>(rng() % link.size());
         const auto it = *position;
         if (rng() % 5 != 0)
-            link.erase(position); // The others stay for a second delivery.
+            link.erase(position); // Messages that stay are delivered again.
         if (rng() % 4 == 0)
             return;
         auto &share = shares[it.to];
@@ -88,11 +89,11 @@
 
 } // namespace
 
-TEST_CASE("shares never add up to more than the whole under loss, doubling and reordering")
+TEST_CASE("shares never exceed the total under message loss, duplication and reordering")
 {
-    std::uint32_t mostLent = 0;
+    std::uint32_t maxBorrowed = 0;
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-        Exchange exchange(seed);
+        LeaseExchange exchange(seed);
         REQUIRE(exchange.total() == Quantity);
         for (int step = 0; step < 2000; ++step) {
             exchange.rng() % 2 == 0 ? exchange.send() : exchange.receive();
@@ -101,20 +102,20 @@
             for (const auto &share : exchange.shares) {
                 const auto available = share.available(exchange.now);
                 if (available > share.safeShare())
-                    mostLent = std::max(mostLent, available - share.safeShare());
+                    maxBorrowed = std::max(maxBorrowed, available - share.safeShare());
             }
         }
-        // Cut off, each falls back to its safe share.
+        // Without messages, each instance returns to its safe share.
         exchange.now += LeaseDuration + LeaseMargin;
         CHECK(exchange.total() == Quantity);
         for (const auto &share : exchange.shares)
             CHECK(share.available(exchange.now) == share.safeShare());
     }
-    // The sweep has really lent.
-    CHECK(mostLent > 0);
+    // The test is only meaningful if amounts were lent.
+    CHECK(maxBorrowed > 0);
 }
 
-TEST_CASE("a quantity smaller than the number of siblings gives each one")
+TEST_CASE("each sibling has a safe share of 1 if the quantity is smaller than their number")
 {
     std::uint32_t sum = 0;
     for (std::uint32_t n = 0; n < 8; ++n) {
--- a/Tests/LibPlacement/TestCandidateSet.cpp
+++ b/Tests/LibPlacement/TestCandidateSet.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// A table of upstreams numbered in the order of the names, and the set of all of them.
+/// Adds upstreams with the given names to the table, in this order, and returns the set of all of
+/// them. The upstream "big" has weight 3, the others have weight 1.
 CandidateSet makeSet(UpstreamTable &table, const std::vector<std::string> &names)
 {
     std::vector<UpstreamSlot> slots;
@@ -29,20 +30,21 @@
 
 } // namespace
 
-TEST_CASE("instances that numbered the upstreams differently agree on homes")
+TEST_CASE("instances that numbered the upstreams differently agree on preferred upstreams")
 {
     UpstreamTable first;
     UpstreamTable second;
-    const auto here = makeSet(first, {"a", "b", "c", "d"});
-    const auto there = makeSet(second, {"d", "b", "a", "c"});
+    const auto firstSet = makeSet(first, {"a", "b", "c", "d"});
+    const auto secondSet = makeSet(second, {"d", "b", "a", "c"});
     std::mt19937_64 rng(5);
     for (int i = 0; i < 1000; ++i) {
         const auto key = rng();
-        REQUIRE(preferredUpstreamOf(here, first, key) == preferredUpstreamOf(there, second, key));
+        REQUIRE(preferredUpstreamOf(firstSet, first, key)
+                == preferredUpstreamOf(secondSet, second, key));
     }
 }
 
-TEST_CASE("a leaving upstream moves only its own prefixes")
+TEST_CASE("removing an upstream reassigns only its own prefixes")
 {
     UpstreamTable first;
     UpstreamTable second;
@@ -57,7 +59,7 @@
     }
 }
 
-TEST_CASE("homes follow the weights")
+TEST_CASE("preferred upstreams are distributed by weight")
 {
     UpstreamTable table;
     const auto set = makeSet(table, {"big", "b", "c", "d"});
@@ -66,12 +68,12 @@
     constexpr int Draws = 6000;
     for (int i = 0; i < Draws; ++i)
         big += preferredUpstreamOf(set, table, rng()) == "big" ? 1 : 0;
-    // Weight 3 of 6.
+    // The upstream "big" has 3 of the total weight of 6.
     CHECK(big > Draws * 45 / 100);
     CHECK(big < Draws * 55 / 100);
 }
 
-TEST_CASE("the first home of many is the first of the homes ranked one by one")
+TEST_CASE("the selection of preferred upstreams matches a full ranking")
 {
     UpstreamTable table;
     std::vector<std::string> names {"big"};
--- a/Tests/LibPlacement/TestPlacement.cpp
+++ b/Tests/LibPlacement/TestPlacement.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a prompt goes back to where its prefix was prefilled")
+TEST_CASE("a prompt is sent to the upstream that prefilled its prefix")
 {
     Fixture fixture(12);
     auto first = fixture.choose({fixture.blocks, {}, {}});
@@ -48,7 +48,7 @@
     CHECK(again->expectedCachedTokens > 3 * BlockTokens);
 }
 
-TEST_CASE("a cached prefix is left for an idle upstream when its holder is swamped")
+TEST_CASE("an idle upstream is preferred to an overloaded holder of the prefix")
 {
     Fixture fixture(3);
     auto first = fixture.choose({fixture.blocks, {}, {}});
@@ -59,18 +59,18 @@
     CHECK(fixture.choose({fixture.blocks, {}, {}})->slot != first->slot);
 }
 
-TEST_CASE("excluded and gone upstreams are not chosen")
+TEST_CASE("excluded and removed upstreams are not chosen")
 {
     Fixture fixture(3);
     const std::array tried {fixture.slots[0]};
-    fixture.placement.noteGone(fixture.slots[1]);
+    fixture.placement.noteRemoved(fixture.slots[1]);
     for (int i = 0; i < 20; ++i)
         REQUIRE(fixture.choose({fixture.blocks, {}, tried})->slot == fixture.slots[2]);
-    fixture.placement.noteGone(fixture.slots[2]);
+    fixture.placement.noteRemoved(fixture.slots[2]);
     CHECK_FALSE(fixture.choose({fixture.blocks, {}, tried}));
 }
 
-TEST_CASE("the caller's preference decides among like candidates")
+TEST_CASE("the caller's preference decides between equal candidates")
 {
     Fixture fixture(3);
     const std::array<Seconds, 3> preference {Seconds(5), Seconds(0), Seconds(5)};
@@ -90,7 +90,7 @@
         CHECK(count < 200);
 }
 
-TEST_CASE("an upstream that stops answering is avoided before any report says so")
+TEST_CASE("an upstream that stops answering is avoided before a load report shows it")
 {
     Fixture fixture(4);
     auto first = fixture.choose({fixture.blocks, {}, {}});
@@ -116,22 +116,22 @@
     }
 }
 
-TEST_CASE("a sibling that takes the hot beliefs over chooses alike")
+TEST_CASE("a sibling that imports the frequent prefixes makes the same choice")
 {
-    Fixture warm(12);
-    auto first = warm.choose({warm.blocks, {}, {}});
-    warm.placement.noteSent(*first, warm.blocks);
-    warm.placement.noteFirstToken(*first, warm.blocks, 0);
-    const auto hot = warm.placement.exportFrequentPrefixes(3);
-    REQUIRE(hot.size() == 3);
-    Fixture fresh(12);
-    fresh.placement.importFrequentPrefixes(warm.placement.exportFrequentPrefixes(100));
-    const auto decision = fresh.choose({fresh.blocks, {}, {}});
+    Fixture warmFixture(12);
+    auto first = warmFixture.choose({warmFixture.blocks, {}, {}});
+    warmFixture.placement.noteSent(*first, warmFixture.blocks);
+    warmFixture.placement.noteFirstToken(*first, warmFixture.blocks, 0);
+    const auto frequent = warmFixture.placement.exportFrequentPrefixes(3);
+    REQUIRE(frequent.size() == 3);
+    Fixture coldFixture(12);
+    coldFixture.placement.importFrequentPrefixes(warmFixture.placement.exportFrequentPrefixes(100));
+    const auto decision = coldFixture.choose({coldFixture.blocks, {}, {}});
     CHECK(decision->slot == first->slot);
     CHECK(decision->expectedCachedTokens > 3 * BlockTokens);
 }
 
-TEST_CASE("decisions and notes run side by side on several threads")
+TEST_CASE("decisions and recorded results may be concurrent")
 {
     Fixture fixture(100);
     const auto work = [&](std::uint64_t seed) {
--- a/Tests/LibPlacement/TestPrefixCacheIsolation.cpp
+++ b/Tests/LibPlacement/TestPrefixCacheIsolation.cpp
@@ -11,8 +11,8 @@
 
 constexpr std::size_t Engines = 5;
 
-/// A cache event on its way.
-struct LateEvent
+/// A cache event that has not been delivered yet.
+struct DelayedEvent
 {
     UpstreamSlot slot;
     std::uint64_t incarnation;
@@ -20,20 +20,21 @@
     bool isStored;
 };
 
-/// Engines that crash, and one instance's knowledge of them, told late, out of order and in part.
-class History
+/// Simulates engines that crash and an instance whose events about them are delayed, reordered and
+/// partly lost.
+class CacheHistory
 {
 public:
-    explicit History(std::uint64_t seed)
+    explicit CacheHistory(std::uint64_t seed)
         : m_rng(seed)
     {
         PlacementSettings settings;
-        // Without preferred upstreams, what is expected cached comes from the index alone.
+        // Without preferred upstreams, the expected cached tokens come from the index alone.
         settings.usesPreferredUpstreams = false;
         m_placement = std::make_unique<::Placement::Placement>(m_clock, settings);
         for (std::size_t i = 0; i < Engines; ++i)
             m_slots.push_back(m_placement->noteUpstream({Core::UpstreamId(std::to_string(i)), 1}));
-        m_ever.resize(Engines);
+        m_storedPrefixes.resize(Engines);
         m_incarnations.assign(Engines, 1);
     }
 
@@ -57,10 +58,10 @@
     void crash(std::size_t engine)
     {
         ++m_incarnations[engine];
-        m_ever[engine].clear();
+        m_storedPrefixes[engine].clear();
         m_placement->noteIncarnation(m_slots[engine], m_incarnations[engine]);
         if (m_rng() % 4 == 0) {
-            m_placement->noteGone(m_slots[engine]);
+            m_placement->noteRemoved(m_slots[engine]);
             m_placement->noteUpstream(
                 {Core::UpstreamId(std::to_string(engine)), m_incarnations[engine]});
         }
@@ -91,25 +92,25 @@
         REQUIRE(decision);
         const auto engine = decision->slot;
         REQUIRE(decision->incarnation == m_incarnations[engine]);
-        // What was stored is kept by scope and text, so that a hash shared by two scopes shows.
+        // Stored prefixes are tracked by scope and text, which detects a hash shared by two scopes.
         const auto name = scope.team.value() + "/" + scope.weightsVersion + "/" + text[0];
-        const auto possible = m_ever[engine].contains(name) ? 2 * BlockTokens : 0;
-        // What this incarnation ever stored bounds what may be counted on.
-        REQUIRE(decision->expectedCachedTokens <= possible);
+        const auto maxCachedTokens = m_storedPrefixes[engine].contains(name) ? 2 * BlockTokens : 0;
+        // The expected tokens are limited to what this incarnation has ever stored.
+        REQUIRE(decision->expectedCachedTokens <= maxCachedTokens);
 
         m_placement->noteSent(*decision, blocks);
-        m_ever[engine].insert(name);
+        m_storedPrefixes[engine].insert(name);
         for (const auto block : blocks.hashes())
             m_events.push_back({engine, m_incarnations[engine], block, m_rng() % 4 != 0});
         if (m_rng() % 3 == 0)
-            m_late.emplace_back(*decision, blocks);
+            m_delayedAnswers.emplace_back(*decision, blocks);
         else
             m_placement->noteFirstToken(*decision, blocks, 0);
-        // Answers of dead incarnations come too.
-        if (!m_late.empty() && m_rng() % 2 == 0) {
-            const auto [old, oldPieces] = m_late.back();
-            m_late.pop_back();
-            m_placement->noteFirstToken(old, oldPieces, oldPieces.promptTokens());
+        // Answers of ended incarnations are delivered, too.
+        if (!m_delayedAnswers.empty() && m_rng() % 2 == 0) {
+            const auto [old, oldBlocks] = m_delayedAnswers.back();
+            m_delayedAnswers.pop_back();
+            m_placement->noteFirstToken(old, oldBlocks, oldBlocks.promptTokens());
         }
     }
 
@@ -118,19 +119,20 @@
     std::unique_ptr<::Placement::Placement> m_placement;
     std::vector<UpstreamSlot> m_slots;
     std::vector<std::uint64_t> m_incarnations;
-    std::vector<std::set<std::string>> m_ever;
-    std::vector<LateEvent> m_events;
-    std::vector<std::pair<Decision, PromptBlocks>> m_late;
+    std::vector<std::set<std::string>> m_storedPrefixes;
+    std::vector<DelayedEvent> m_events;
+    std::vector<std::pair<Decision, PromptBlocks>> m_delayedAnswers;
 };
 
 } // namespace
 
-TEST_CASE("a decision never counts on a dead incarnation, another team or older weights")
+TEST_CASE(
+    "expected cached tokens never come from an ended incarnation, another team or older weights")
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         INFO("seed " << seed);
-        History history(seed);
+        CacheHistory cacheHistory(seed);
         for (int i = 0; i < 300; ++i)
-            history.step();
+            cacheHistory.step();
     }
 }
