--- a/Libraries/LibMembership/Member.h
+++ b/Libraries/LibMembership/Member.h
@@ -78,15 +78,15 @@
     /// A suspect is dropped after this many periods times the decimal logarithm of the fleet.
     unsigned suspicionFactor = 4;
     /// A piece of news is sent this many times the decimal logarithm of the fleet.
-    unsigned newsFactor = 4;
+    unsigned retransmitFactor = 4;
     std::size_t updatesPerMessage = 8;
     /// Suspects that are asked once more each period, in the last two periods before they drop.
-    std::size_t lastChancesPerPeriod = 4;
+    std::size_t finalProbesPerPeriod = 4;
     /// Addresses of the platform's list that are tried each period.
     std::size_t candidatesPerPeriod = 3;
     /// A prober that hears from nobody blames itself for this many periods.
-    unsigned deafPeriods = 3;
-    std::chrono::milliseconds forgetDeadAfter {std::chrono::hours(6)};
+    unsigned maxIsolatedPeriods = 3;
+    std::chrono::milliseconds droppedMemberRetention {std::chrono::hours(6)};
     std::size_t maxMembers = 4'096;
     /// What updates may use each second; probes and acks without updates are sent all the same.
     std::size_t updateBytesPerSecond = 2'048;
--- a/Libraries/LibMembership/MemberTable.cpp
+++ b/Libraries/LibMembership/MemberTable.cpp
@@ -32,19 +32,19 @@
     , m_listener(std::move(listener))
 { }
 
-unsigned MemberTable::logarithm() const
+unsigned MemberTable::fleetSizeLog() const
 {
     return static_cast<unsigned>(std::ceil(std::log10(static_cast<double>(m_live) + 2)));
 }
 
-unsigned MemberTable::newsLimit() const
+unsigned MemberTable::transmissionLimit() const
 {
-    return m_settings.newsFactor * logarithm();
+    return m_settings.retransmitFactor * fleetSizeLog();
 }
 
 std::chrono::milliseconds MemberTable::suspicionTimeout() const
 {
-    return m_settings.period * (m_settings.suspicionFactor * logarithm());
+    return m_settings.period * (m_settings.suspicionFactor * fleetSizeLog());
 }
 
 void MemberTable::merge(const Member &update, Monotonic now)
@@ -63,7 +63,7 @@
     const bool changed = update.state != known.state;
     entry.member.refutation = update.refutation;
     entry.member.address = update.address;
-    entry.newsLeft = newsLimit();
+    entry.transmissionsLeft = transmissionLimit();
     if (changed)
         change(entry, update.state, changeBetween(known, update.state), now);
 }
@@ -86,19 +86,19 @@
     change(entry, MemberState::Alive, MemberChange::Joined, now);
     if (update.state != MemberState::Alive)
         change(entry, update.state, changeBetween(entry.member, update.state), now);
-    settleRivals(update, now);
+    supersedeFormerIncarnations(update, now);
 }
 
-void MemberTable::settleRivals(const Member &arrival, Monotonic now)
+void MemberTable::supersedeFormerIncarnations(const Member &newMember, Monotonic now)
 {
     for (auto &[id, entry] : m_entries) {
         const bool former =
-            id.instance == arrival.id.instance && id.incarnation < arrival.id.incarnation;
+            id.instance == newMember.id.instance && id.incarnation < newMember.id.incarnation;
         if (!former || entry.member.state == MemberState::Dead)
             continue;
         // At the same address the former process must be gone. Elsewhere it may still run under
         // the same instance id: it is asked to object.
-        if (entry.member.address == arrival.address)
+        if (entry.member.address == newMember.address)
             change(entry, MemberState::Dead, MemberChange::Replaced, now);
         else
             suspect(id, now);
@@ -108,7 +108,7 @@
 void MemberTable::change(Entry &entry, MemberState state, MemberChange change, Monotonic now)
 {
     entry.member.state = state;
-    entry.newsLeft = newsLimit();
+    entry.transmissionsLeft = transmissionLimit();
     entry.changed = now;
     if (state == MemberState::Suspect)
         entry.dropAt = now + suspicionTimeout();
@@ -154,15 +154,15 @@
     std::erase_if(m_entries, [&](const auto &item) {
         const auto &entry = item.second;
         return entry.member.state == MemberState::Dead
-               && now - entry.changed >= m_settings.forgetDeadAfter;
+               && now - entry.changed >= m_settings.droppedMemberRetention;
     });
 }
 
-void MemberTable::postponeDrops(std::chrono::nanoseconds gap)
+void MemberTable::extendSuspicions(std::chrono::nanoseconds stall)
 {
     for (auto &[id, entry] : m_entries) {
         if (entry.member.state == MemberState::Suspect)
-            entry.dropAt += gap;
+            entry.dropAt += stall;
     }
 }
 
@@ -205,7 +205,7 @@
     return all;
 }
 
-std::size_t MemberTable::deadCount() const
+std::size_t MemberTable::droppedCount() const
 {
     return members().size() - present().size();
 }
@@ -218,16 +218,16 @@
     });
 }
 
-std::optional<Member> MemberTable::randomDead(std::mt19937_64 &rng) const
+std::optional<Member> MemberTable::randomDroppedMember(std::mt19937_64 &rng) const
 {
-    std::vector<const Member *> dead;
+    std::vector<const Member *> dropped;
     for (const auto &[id, entry] : m_entries) {
         if (entry.member.state == MemberState::Dead)
-            dead.push_back(&entry.member);
+            dropped.push_back(&entry.member);
     }
-    if (dead.empty())
+    if (dropped.empty())
         return std::nullopt;
-    return *dead[rng() % dead.size()];
+    return *dropped[rng() % dropped.size()];
 }
 
 std::vector<Member> MemberTable::takeUpdates(const MemberId &receiver, std::size_t maxBytes,
@@ -236,15 +236,16 @@
     std::vector<Entry *> order;
     order.reserve(m_entries.size());
     for (auto &[id, entry] : m_entries) {
-        const bool worthTelling = entry.newsLeft > 0 || entry.member.state != MemberState::Dead;
-        if (worthTelling || id == receiver)
+        const bool isCandidate =
+            entry.transmissionsLeft > 0 || entry.member.state != MemberState::Dead;
+        if (isCandidate || id == receiver)
             order.push_back(&entry);
     }
     std::shuffle(order.begin(), order.end(), rng);
     const auto rank = [&](const Entry *entry) {
-        const bool accused =
+        const bool needsRefutation =
             entry->member.id == receiver && entry->member.state != MemberState::Alive;
-        return accused ? newsLimit() + 1 : entry->newsLeft;
+        return needsRefutation ? transmissionLimit() + 1 : entry->transmissionsLeft;
     };
     const auto count = std::min(order.size(), m_settings.updatesPerMessage);
     std::partial_sort(
@@ -255,12 +256,12 @@
         auto &entry = *order[n];
         // What is said of the receiver itself goes out whatever the budget says: it must be able
         // to object.
-        const bool accused = rank(&entry) > newsLimit();
+        const bool needsRefutation = rank(&entry) > transmissionLimit();
         const auto bytes = encodedBytes(entry.member);
-        if (!accused && bytes > maxBytes)
+        if (!needsRefutation && bytes > maxBytes)
             break;
         maxBytes -= std::min(bytes, maxBytes);
-        entry.newsLeft -= entry.newsLeft > 0 ? 1 : 0;
+        entry.transmissionsLeft -= entry.transmissionsLeft > 0 ? 1 : 0;
         updates.push_back(entry.member);
     }
     return updates;
--- a/Libraries/LibMembership/MemberTable.h
+++ b/Libraries/LibMembership/MemberTable.h
@@ -39,7 +39,7 @@
     void expire(Core::Clock::Monotonic now);
 
     /// Gives suspects more time, by as long as this process itself stood still.
-    void postponeDrops(std::chrono::nanoseconds gap);
+    void extendSuspicions(std::chrono::nanoseconds stall);
 
     /// Suspects that will be dropped before the given time, soonest first, at most so many.
     std::vector<Member> suspectsDueBefore(Core::Clock::Monotonic time, std::size_t limit) const;
@@ -49,11 +49,11 @@
     /// Alive, suspected and leaving members.
     std::vector<Member> present() const;
     std::size_t liveCount() const { return m_live; }
-    std::size_t deadCount() const;
+    std::size_t droppedCount() const;
     bool knowsAddress(const std::string &address) const;
 
     /// A random dead member, to see whether a partition has healed.
-    std::optional<Member> randomDead(std::mt19937_64 &rng) const;
+    std::optional<Member> randomDroppedMember(std::mt19937_64 &rng) const;
 
     /// What to tell a member: first what is said of itself, if bad, then the newest news, then
     /// random other beliefs, within the bytes. Counts the news as sent once more.
@@ -61,23 +61,23 @@
                                     std::mt19937_64 &rng);
 
     /// How often a piece of news is sent, for a fleet of the present size.
-    unsigned newsLimit() const;
+    unsigned transmissionLimit() const;
     std::chrono::milliseconds suspicionTimeout() const;
 
 private:
     struct Entry
     {
         Member member;
-        unsigned newsLeft = 0;
+        unsigned transmissionsLeft = 0;
         Core::Clock::Monotonic changed;
         Core::Clock::Monotonic dropAt;
     };
 
     void insert(const Member &update, Core::Clock::Monotonic now);
     void change(Entry &entry, MemberState state, MemberChange change, Core::Clock::Monotonic now);
-    void settleRivals(const Member &arrival, Core::Clock::Monotonic now);
+    void supersedeFormerIncarnations(const Member &newMember, Core::Clock::Monotonic now);
     void recount();
-    unsigned logarithm() const;
+    unsigned fleetSizeLog() const;
 
     const MembershipSettings &m_settings;
     Listener m_listener;
--- a/Libraries/LibMembership/MembershipMessage.cpp
+++ b/Libraries/LibMembership/MembershipMessage.cpp
@@ -24,8 +24,8 @@
     return updates;
 }
 
-template <typename Table, typename Plain>
-Peer::Body probeOrAck(const Plain &message)
+template <typename Table, typename MessageType>
+Peer::Body makeProbeOrAckBody(const MessageType &message)
 {
     Table table;
     table.sequence = message.sequence;
@@ -34,7 +34,7 @@
     return Peer::makeBody(std::move(table));
 }
 
-template <typename Plain, typename Table>
+template <typename MessageType, typename Table>
 std::optional<Message> probeOrAckFromWire(const Table &table)
 {
     if (!table.sender)
@@ -42,7 +42,7 @@
     auto sender = fromWire(*table.sender);
     if (!sender)
         return std::nullopt;
-    return Plain {table.sequence, std::move(*sender), fromWire(table.updates)};
+    return MessageType {table.sequence, std::move(*sender), fromWire(table.updates)};
 }
 
 std::optional<Message> indirectFromWire(const Wire::IndirectProbeT &table)
@@ -58,8 +58,11 @@
 
 struct BodyMaker
 {
-    Peer::Body operator()(const Probe &probe) const { return probeOrAck<Wire::ProbeT>(probe); }
-    Peer::Body operator()(const Ack &ack) const { return probeOrAck<Wire::AckT>(ack); }
+    Peer::Body operator()(const Probe &probe) const
+    {
+        return makeProbeOrAckBody<Wire::ProbeT>(probe);
+    }
+    Peer::Body operator()(const Ack &ack) const { return makeProbeOrAckBody<Wire::AckT>(ack); }
     Peer::Body operator()(const IndirectProbe &probe) const
     {
         Wire::IndirectProbeT table;
--- a/Libraries/LibMembership/ProbeService.cpp
+++ b/Libraries/LibMembership/ProbeService.cpp
@@ -9,8 +9,8 @@
 
 using Monotonic = Core::Clock::Monotonic;
 
-constexpr unsigned FrozenPeriods = 2;
-constexpr unsigned LastChancePeriods = 2;
+constexpr unsigned StallPeriods = 2;
+constexpr unsigned FinalProbePeriods = 2;
 
 void logChange(const Member &member, MemberChange change)
 {
@@ -74,24 +74,24 @@
 void ProbeService::tick()
 {
     const auto now = m_clock.now();
-    noteGap(now);
+    checkForStall(now);
     m_lastTick = now;
-    followUp(now);
+    checkPendingProbes(now);
     m_table.expire(now);
     if (now >= m_nextPeriod)
         beginPeriod(now);
 }
 
-void ProbeService::noteGap(Monotonic now)
+void ProbeService::checkForStall(Monotonic now)
 {
-    const auto gap = now - m_lastTick;
-    if (gap < m_settings.period * FrozenPeriods)
+    const auto stall = now - m_lastTick;
+    if (stall < m_settings.period * StallPeriods)
         return;
     // This process stood still: that nobody answered meanwhile says nothing of the others, and
     // they may have dropped it, which it contradicts without being asked.
     m_pending.clear();
     m_relays.clear();
-    m_table.postponeDrops(gap);
+    m_table.extendSuspicions(stall);
     ++m_self.refutation;
 }
 
@@ -100,17 +100,17 @@
     m_nextPeriod = std::max(m_nextPeriod + m_settings.period, now + m_settings.period / 2);
     if (const auto target = nextTarget())
         probe(target->address, target, now);
-    if (const auto dead = m_table.randomDead(m_rng))
-        probe(dead->address, std::nullopt, now);
-    giveLastChances(now);
-    tryCandidates(now);
+    if (const auto dropped = m_table.randomDroppedMember(m_rng))
+        probe(dropped->address, std::nullopt, now);
+    probeExpiringSuspects(now);
+    probeCandidates(now);
 }
 
-void ProbeService::giveLastChances(Monotonic now)
+void ProbeService::probeExpiringSuspects(Monotonic now)
 {
     // An objection may have passed this process by, so it asks the suspect itself before the drop.
-    const auto horizon = now + m_settings.period * LastChancePeriods;
-    for (const auto &suspect : m_table.suspectsDueBefore(horizon, m_settings.lastChancesPerPeriod))
+    const auto horizon = now + m_settings.period * FinalProbePeriods;
+    for (const auto &suspect : m_table.suspectsDueBefore(horizon, m_settings.finalProbesPerPeriod))
         m_hooks.send(suspect.address, Probe {++m_lastSequence, m_self, updatesFor(suspect.id)});
 }
 
@@ -118,14 +118,14 @@
 {
     // Each live member is probed once a round, in an order that is new each round, so that the
     // time until a dead one is noticed is bounded.
-    if (m_ring.empty()) {
+    if (m_probeOrder.empty()) {
         for (const auto &member : m_table.present())
-            m_ring.push_back(member.id);
-        std::shuffle(m_ring.begin(), m_ring.end(), m_rng);
+            m_probeOrder.push_back(member.id);
+        std::shuffle(m_probeOrder.begin(), m_probeOrder.end(), m_rng);
     }
-    while (!m_ring.empty()) {
-        const auto id = m_ring.back();
-        m_ring.pop_back();
+    while (!m_probeOrder.empty()) {
+        const auto id = m_probeOrder.back();
+        m_probeOrder.pop_back();
         const auto *member = m_table.find(id);
         if (member != nullptr && member->state != MemberState::Dead)
             return *member;
@@ -133,7 +133,7 @@
     return std::nullopt;
 }
 
-void ProbeService::tryCandidates(Monotonic now)
+void ProbeService::probeCandidates(Monotonic now)
 {
     std::vector<std::string> unknown;
     for (const auto &address : m_listed) {
@@ -152,11 +152,11 @@
     const auto sequence = ++m_lastSequence;
     const auto receiver = target ? target->id : MemberId {};
     m_pending[sequence] = {std::move(target),       address, now + m_settings.probeTimeout,
-                           now + m_settings.period, false,   m_heard};
+                           now + m_settings.period, false,   m_receivedMessages};
     m_hooks.send(address, Probe {sequence, m_self, updatesFor(receiver)});
 }
 
-void ProbeService::followUp(Monotonic now)
+void ProbeService::checkPendingProbes(Monotonic now)
 {
     std::vector<PendingProbe> failed;
     for (auto it = m_pending.begin(); it != m_pending.end();) {
@@ -166,18 +166,18 @@
             it = m_pending.erase(it);
             continue;
         }
-        if (probe.target && !probe.askedOthers && now >= probe.askOthersAt) {
-            probe.askedOthers = true;
-            askOthers(it->first, probe);
+        if (probe.target && !probe.hasSentIndirectProbes && now >= probe.indirectProbeAt) {
+            probe.hasSentIndirectProbes = true;
+            sendIndirectProbes(it->first, probe);
         }
         ++it;
     }
     for (const auto &probe : failed)
-        fail(probe, now);
+        handleFailedProbe(probe, now);
     std::erase_if(m_relays, [now](const auto &item) { return now >= item.second.deadline; });
 }
 
-void ProbeService::askOthers(std::uint64_t sequence, const PendingProbe &probe)
+void ProbeService::sendIndirectProbes(std::uint64_t sequence, const PendingProbe &probe)
 {
     auto helpers = live();
     std::erase_if(helpers, [&](const Member &member) {
@@ -190,7 +190,7 @@
         m_hooks.send(helper.address, IndirectProbe {sequence, m_self, *probe.target});
 }
 
-void ProbeService::fail(const PendingProbe &probe, Monotonic now)
+void ProbeService::handleFailedProbe(const PendingProbe &probe, Monotonic now)
 {
     if (!probe.target)
         return;
@@ -202,31 +202,31 @@
         return;
     }
     // A process that hears from nobody is more likely cut off itself.
-    const bool deaf = m_heard == probe.heardBefore;
-    m_deafPeriods = deaf ? m_deafPeriods + 1 : 0;
-    if (deaf && m_deafPeriods < m_settings.deafPeriods)
+    const bool isIsolated = m_receivedMessages == probe.receivedBefore;
+    m_isolatedPeriods = isIsolated ? m_isolatedPeriods + 1 : 0;
+    if (isIsolated && m_isolatedPeriods < m_settings.maxIsolatedPeriods)
         return;
     m_table.suspect(probe.target->id, now);
 }
 
 void ProbeService::receive(const Message &message)
 {
-    ++m_heard;
+    ++m_receivedMessages;
     if (const auto *probe = std::get_if<Probe>(&message))
-        answer(*probe);
+        handleProbe(*probe);
     else if (const auto *ack = std::get_if<Ack>(&message))
-        accept(*ack);
+        handleAck(*ack);
     else if (const auto *indirect = std::get_if<IndirectProbe>(&message))
-        relay(*indirect);
+        handleIndirectProbe(*indirect);
 }
 
-void ProbeService::answer(const Probe &probe)
+void ProbeService::handleProbe(const Probe &probe)
 {
     mergeAll(probe.sender, probe.updates);
     m_hooks.send(probe.sender.address, Ack {probe.sequence, m_self, updatesFor(probe.sender.id)});
 }
 
-void ProbeService::accept(const Ack &ack)
+void ProbeService::handleAck(const Ack &ack)
 {
     mergeAll(ack.sender, ack.updates);
     const auto relayed = m_relays.find(ack.sequence);
@@ -239,13 +239,13 @@
     const auto it = m_pending.find(ack.sequence);
     if (it == m_pending.end())
         return;
-    m_deafPeriods = 0;
+    m_isolatedPeriods = 0;
     if (it->second.target && it->second.target->id != ack.sender.id)
         m_table.replace(it->second.target->id, m_clock.now());
     m_pending.erase(it);
 }
 
-void ProbeService::relay(const IndirectProbe &probe)
+void ProbeService::handleIndirectProbe(const IndirectProbe &probe)
 {
     merge(probe.sender);
     const auto sequence = ++m_lastSequence;
@@ -273,19 +273,19 @@
 void ProbeService::merge(const Member &update)
 {
     if (update.id == m_self.id) {
-        object(update);
+        refute(update);
         return;
     }
-    const bool rival = update.id.instance == m_self.id.instance
-                       && update.id.incarnation > m_self.id.incarnation
-                       && update.state != MemberState::Dead;
-    if (rival && m_rivalSightings++ == 0)
+    const bool isLaterIncarnation = update.id.instance == m_self.id.instance
+                                    && update.id.incarnation > m_self.id.incarnation
+                                    && update.state != MemberState::Dead;
+    if (isLaterIncarnation && m_laterIncarnationsSeen++ == 0)
         Core::logEvent(Core::EventId::PeerIncarnationChanged,
                        {{"peer", update.id.instance.value()}, {"address", update.address}});
     m_table.merge(update, m_clock.now());
 }
 
-void ProbeService::object(const Member &update)
+void ProbeService::refute(const Member &update)
 {
     const bool wrong = update.state > m_self.state && update.refutation >= m_self.refutation;
     if (!wrong)
@@ -310,7 +310,7 @@
     m_self.state = MemberState::Leaving;
     auto receivers = live();
     std::shuffle(receivers.begin(), receivers.end(), m_rng);
-    const auto count = std::min<std::size_t>(receivers.size(), m_table.newsLimit());
+    const auto count = std::min<std::size_t>(receivers.size(), m_table.transmissionLimit());
     receivers.resize(count);
     for (const auto &receiver : receivers)
         m_hooks.send(receiver.address, Probe {++m_lastSequence, m_self, {}});
--- a/Libraries/LibMembership/ProbeService.h
+++ b/Libraries/LibMembership/ProbeService.h
@@ -67,7 +67,7 @@
     std::vector<Member> live() const;
     const MemberTable &table() const { return m_table; }
     /// Processes seen that use this process's instance id with a later incarnation.
-    std::uint64_t rivalSightings() const { return m_rivalSightings; }
+    std::uint64_t laterIncarnationsSeen() const { return m_laterIncarnationsSeen; }
 
 private:
     struct PendingProbe
@@ -75,10 +75,10 @@
         /// Empty when an address of the list or a dead member is tried.
         std::optional<Member> target;
         std::string address;
-        Core::Clock::Monotonic askOthersAt;
+        Core::Clock::Monotonic indirectProbeAt;
         Core::Clock::Monotonic deadline;
-        bool askedOthers = false;
-        std::uint64_t heardBefore = 0;
+        bool hasSentIndirectProbes = false;
+        std::uint64_t receivedBefore = 0;
     };
     struct Relay
     {
@@ -90,22 +90,22 @@
     ProbeService(const MembershipSettings &settings, Member self, const Core::Clock &clock,
                  std::mt19937_64 &rng, MembershipHooks hooks);
 
-    void noteGap(Core::Clock::Monotonic now);
+    void checkForStall(Core::Clock::Monotonic now);
     void beginPeriod(Core::Clock::Monotonic now);
-    void followUp(Core::Clock::Monotonic now);
-    void fail(const PendingProbe &probe, Core::Clock::Monotonic now);
-    void askOthers(std::uint64_t sequence, const PendingProbe &probe);
+    void checkPendingProbes(Core::Clock::Monotonic now);
+    void handleFailedProbe(const PendingProbe &probe, Core::Clock::Monotonic now);
+    void sendIndirectProbes(std::uint64_t sequence, const PendingProbe &probe);
     std::optional<Member> nextTarget();
-    void giveLastChances(Core::Clock::Monotonic now);
-    void tryCandidates(Core::Clock::Monotonic now);
+    void probeExpiringSuspects(Core::Clock::Monotonic now);
+    void probeCandidates(Core::Clock::Monotonic now);
     void probe(const std::string &address, std::optional<Member> target,
                Core::Clock::Monotonic now);
     void mergeAll(const Member &sender, const std::vector<Member> &updates);
     void merge(const Member &update);
-    void object(const Member &update);
-    void answer(const Probe &probe);
-    void accept(const Ack &ack);
-    void relay(const IndirectProbe &probe);
+    void refute(const Member &update);
+    void handleProbe(const Probe &probe);
+    void handleAck(const Ack &ack);
+    void handleIndirectProbe(const IndirectProbe &probe);
     std::vector<Member> updatesFor(const MemberId &receiver);
 
     const MembershipSettings m_settings;
@@ -115,14 +115,14 @@
     MembershipHooks m_hooks;
     MemberTable m_table;
     ByteBudget m_budget;
-    std::vector<MemberId> m_ring;
+    std::vector<MemberId> m_probeOrder;
     std::vector<std::string> m_listed;
     std::unordered_map<std::uint64_t, PendingProbe> m_pending;
     std::unordered_map<std::uint64_t, Relay> m_relays;
     std::uint64_t m_lastSequence = 0;
-    std::uint64_t m_heard = 0;
-    std::uint64_t m_rivalSightings = 0;
-    unsigned m_deafPeriods = 0;
+    std::uint64_t m_receivedMessages = 0;
+    std::uint64_t m_laterIncarnationsSeen = 0;
+    unsigned m_isolatedPeriods = 0;
     Core::Clock::Monotonic m_lastTick;
     Core::Clock::Monotonic m_nextPeriod;
 };
--- a/Libraries/LibMembership/SharedItem.cpp
+++ b/Libraries/LibMembership/SharedItem.cpp
@@ -53,26 +53,29 @@
 };
 
 /// The two numbers of an item that are not part of its key.
-struct Numbers
+struct ItemPayload
 {
     std::uint32_t first = 0;
     std::uint32_t second = 0;
 };
 
-struct NumberMaker
+struct PayloadMaker
 {
-    Numbers operator()(const ConfigurationGeneration &item) const { return {item.generation, 0}; }
-    Numbers operator()(const PoisonCrash &) const { return {}; }
-    Numbers operator()(const UpstreamHealth &item) const
+    ItemPayload operator()(const ConfigurationGeneration &item) const
+    {
+        return {item.generation, 0};
+    }
+    ItemPayload operator()(const PoisonCrash &) const { return {}; }
+    ItemPayload operator()(const UpstreamHealth &item) const
     {
         return {static_cast<std::uint32_t>(item.condition), 0};
     }
-    Numbers operator()(const TeamDemand &item) const { return {item.inUse, item.waiting}; }
-    Numbers operator()(const PrefixLocation &item) const
+    ItemPayload operator()(const TeamDemand &item) const { return {item.inUse, item.waiting}; }
+    ItemPayload operator()(const PrefixLocation &item) const
     {
         return {item.requestsPerMinute, item.incarnation};
     }
-    Numbers operator()(const UpstreamLoad &item) const { return {item.outstanding, 0}; }
+    ItemPayload operator()(const UpstreamLoad &item) const { return {item.outstanding, 0}; }
 };
 
 // A generation or a suspicion is worth more than any rate of requests or load.
@@ -97,14 +100,14 @@
 constexpr std::uint32_t RequestRateFactor = 2;
 
 /// Whether a count moved by more than a quarter, and by more than one.
-bool movedMuch(std::uint32_t before, std::uint32_t after)
+bool changedSignificantly(std::uint32_t before, std::uint32_t after)
 {
     const auto distance = std::max(before, after) - std::min(before, after);
     return distance > std::max<std::uint32_t>(1, before / 4);
 }
 
 /// Compares two items of one key.
-struct NewsJudge
+struct UpdateComparator
 {
     const SharedItem &observed;
 
@@ -120,7 +123,8 @@
     bool operator()(const TeamDemand &known) const
     {
         const auto &now = std::get<TeamDemand>(observed);
-        return movedMuch(known.inUse, now.inUse) || movedMuch(known.waiting, now.waiting);
+        return changedSignificantly(known.inUse, now.inUse)
+               || changedSignificantly(known.waiting, now.waiting);
     }
     bool operator()(const PrefixLocation &known) const
     {
@@ -130,7 +134,8 @@
     }
     bool operator()(const UpstreamLoad &known) const
     {
-        return movedMuch(known.outstanding, std::get<UpstreamLoad>(observed).outstanding);
+        return changedSignificantly(known.outstanding,
+                                    std::get<UpstreamLoad>(observed).outstanding);
     }
 };
 
@@ -146,9 +151,9 @@
     return std::visit(ValueMaker {}, item);
 }
 
-bool isNews(const SharedItem &known, const SharedItem &observed)
+bool isSignificantUpdate(const SharedItem &known, const SharedItem &observed)
 {
-    return std::visit(NewsJudge {observed}, known);
+    return std::visit(UpdateComparator {observed}, known);
 }
 
 std::size_t SharedKeyHash::operator()(const SharedKey &key) const noexcept
@@ -165,12 +170,12 @@
 SharedRecord toWire(const SharedItem &item, std::uint32_t version, std::chrono::milliseconds age)
 {
     const auto key = keyOf(item);
-    const auto numbers = std::visit(NumberMaker {}, item);
+    const auto payload = std::visit(PayloadMaker {}, item);
     const auto *generation = std::get_if<ConfigurationGeneration>(&item);
     const auto object = generation != nullptr ? generation->digest : key.object;
     const auto ageCount = static_cast<std::uint32_t>(
         std::clamp<std::chrono::milliseconds::rep>(age.count(), 0, UINT32_MAX));
-    return SharedRecord(key.subject, object, key.origin, version, numbers.first, numbers.second,
+    return SharedRecord(key.subject, object, key.origin, version, payload.first, payload.second,
                         ageCount, static_cast<std::uint8_t>(key.kind));
 }
 
--- a/Libraries/LibMembership/SharedItem.h
+++ b/Libraries/LibMembership/SharedItem.h
@@ -85,7 +85,7 @@
 /// Whether an observation says enough more than what is known under the same key to be told to
 /// siblings before a renewal is due. Instances that see one thing differently must not outbid each
 /// other for ever, so that of shared items only the stronger word is news.
-bool isNews(const SharedItem &known, const SharedItem &observed);
+bool isSignificantUpdate(const SharedItem &known, const SharedItem &observed);
 
 /// What tells items apart: two with one key are versions of the same thing.
 struct SharedKey
--- a/Libraries/LibMembership/SharedState.cpp
+++ b/Libraries/LibMembership/SharedState.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // One in so many items goes when there is no room.
-constexpr std::size_t EvictedPart = 16;
+constexpr std::size_t EvictionDivisor = 16;
 
 using Content = std::tuple<std::uint64_t, std::uint32_t, std::uint32_t>;
 
@@ -51,8 +51,8 @@
     std::uint32_t known = 0;
     if (it != m_entries.end()) {
         known = it->second.version;
-        const bool young = ageOf(it->second) < lifetime(item) / 2;
-        if (young && !isNews(it->second.item, item))
+        const bool isFresh = ageOf(it->second) < lifetime(item) / 2;
+        if (isFresh && !isSignificantUpdate(it->second.item, item))
             return;
     }
     const auto version = nextVersion(item, known);
@@ -89,14 +89,14 @@
                         milliseconds age)
 {
     if (!m_entries.contains(key))
-        makeRoom();
+        evictLeastValuable();
     auto &entry = m_entries[key];
     // Another content of a version that was passed on already is no news.
     const auto transmissions = entry.version == version ? entry.transmissions : 0;
     entry = {item, version, transmissions, m_value(item), m_clock.now() - age};
 }
 
-void SharedState::makeRoom()
+void SharedState::evictLeastValuable()
 {
     if (m_entries.size() < m_settings.maxItems)
         return;
@@ -108,14 +108,15 @@
     values.reserve(m_entries.size());
     for (const auto &[key, entry] : m_entries)
         values.push_back(entry.value);
-    const auto middle = values.begin() + static_cast<std::ptrdiff_t>(values.size() / EvictedPart);
+    const auto middle =
+        values.begin() + static_cast<std::ptrdiff_t>(values.size() / EvictionDivisor);
     std::nth_element(values.begin(), middle, values.end());
     const auto least = *middle;
-    std::size_t left = values.size() / EvictedPart + 1;
+    std::size_t left = values.size() / EvictionDivisor + 1;
     std::erase_if(m_entries, [&](const auto &item) {
-        const bool goes = left > 0 && item.second.value <= least;
-        left -= goes ? 1 : 0;
-        return goes;
+        const bool isEvicted = left > 0 && item.second.value <= least;
+        left -= isEvicted ? 1 : 0;
+        return isEvicted;
     });
 }
 
@@ -164,7 +165,7 @@
     return records;
 }
 
-std::vector<SharedRecord> SharedState::copy(std::size_t maxBytes) const
+std::vector<SharedRecord> SharedState::snapshotRecords(std::size_t maxBytes) const
 {
     std::vector<const Entry *> entries;
     entries.reserve(m_entries.size());
--- a/Libraries/LibMembership/SharedState.h
+++ b/Libraries/LibMembership/SharedState.h
@@ -34,8 +34,9 @@
     SharedState(const Core::Clock &clock, const SharedStateSettings &settings, Receiver receiver,
                 ValueFunction value = defaultValue);
 
-    /// Takes in an observation of this instance's own. What is no news (see isNews()) changes
-    /// nothing until half of the item's lifetime has passed; then it is renewed at the siblings.
+    /// Takes in an observation of this instance's own. What is no news (see isSignificantUpdate())
+    /// changes nothing until half of the item's lifetime has passed; then it is renewed at the
+    /// siblings.
     void publish(const SharedItem &item);
 
     /// Merges what a sibling sent.
@@ -46,7 +47,7 @@
     std::vector<Peer::Wire::SharedRecord> pack(std::size_t maxBytes);
 
     /// The most valuable items that fit the bytes, whether passed on or not, for a snapshot.
-    std::vector<Peer::Wire::SharedRecord> copy(std::size_t maxBytes) const;
+    std::vector<Peer::Wire::SharedRecord> snapshotRecords(std::size_t maxBytes) const;
 
     /// Forgets what has outlived its lifetime.
     void expire();
@@ -67,7 +68,7 @@
     void store(const SharedKey &key, const SharedItem &item, std::uint32_t version,
                std::chrono::milliseconds age);
     static bool supersedes(const Peer::Wire::SharedRecord &record, const Entry &entry);
-    void makeRoom();
+    void evictLeastValuable();
     std::chrono::milliseconds ageOf(const Entry &entry) const;
     Peer::Wire::SharedRecord record(const Entry &entry) const;
 
--- a/Libraries/LibMembership/SharedStatePublisher.h
+++ b/Libraries/LibMembership/SharedStatePublisher.h
@@ -18,7 +18,7 @@
     /// What is sent each second, frames and all, whatever the size of the fleet.
     std::size_t bytesPerSecond = 3'072;
     /// One sibling is sent to each round. What is new so reaches twice as many each round.
-    std::chrono::milliseconds round {250};
+    std::chrono::milliseconds roundPeriod {250};
     /// The share of rounds that go to the own data centre, while it has others.
     double ownDataCentreShare = 0.5;
 };
@@ -44,7 +44,7 @@
     void tick();
 
 private:
-    const Member *choose(const std::vector<Member> &siblings);
+    const Member *chooseReceiver(const std::vector<Member> &siblings);
 
     const Core::Clock &m_clock;
     std::mt19937_64 &m_rng;
--- a/Libraries/LibMembership/Snapshot.cpp
+++ b/Libraries/LibMembership/Snapshot.cpp
@@ -11,25 +11,25 @@
 
 namespace {
 
-constexpr std::uint16_t LowestSnapshotVersion = 1;
+constexpr std::uint16_t MinSnapshotVersion = 1;
 // Envelope, environment and numbers around the lists.
 constexpr std::size_t FixedSnapshotBytes = 512;
 
 } // namespace
 
-SnapshotT makeSnapshot(const SnapshotBasis &basis, const std::vector<Member> &members,
+SnapshotT makeSnapshot(const SnapshotContext &context, const std::vector<Member> &members,
                        const SharedState &state, std::chrono::milliseconds uptime,
                        const SnapshotRequestT &request, std::size_t maxBytes)
 {
-    if (request.environment != basis.environment)
+    if (request.environment != context.environment)
         throw Core::Error(Core::ErrorKind::PeerRejected, "a snapshot for another environment");
     SnapshotT snapshot;
     snapshot.version = SnapshotVersion;
-    snapshot.environment = basis.environment;
-    snapshot.generation = basis.generation;
-    snapshot.generation_digest = basis.generationDigest;
+    snapshot.environment = context.environment;
+    snapshot.generation = context.generation;
+    snapshot.generation_digest = context.generationDigest;
     snapshot.uptime_ms = static_cast<std::uint64_t>(uptime.count());
-    for (const auto &[model, weights] : basis.weights)
+    for (const auto &[model, weights] : context.weights)
         snapshot.weights.emplace_back(model, weights);
     auto limit = std::min<std::size_t>(maxBytes, request.max_bytes);
     const auto spend = [&limit](std::size_t bytes) {
@@ -44,62 +44,62 @@
             break;
         snapshot.members.push_back(toWire(member));
     }
-    snapshot.records = state.copy(limit);
+    snapshot.records = state.snapshotRecords(limit);
     return snapshot;
 }
 
-std::string_view snapshotVerdictName(SnapshotVerdict verdict)
+std::string_view snapshotValidityName(SnapshotValidity validity)
 {
-    switch (verdict) {
-    case SnapshotVerdict::Take:
+    switch (validity) {
+    case SnapshotValidity::Take:
         return "take";
-    case SnapshotVerdict::OtherEnvironment:
+    case SnapshotValidity::OtherEnvironment:
         return "other_environment";
-    case SnapshotVerdict::IncompatibleVersion:
+    case SnapshotValidity::IncompatibleVersion:
         return "incompatible_version";
-    case SnapshotVerdict::OlderWeights:
+    case SnapshotValidity::OlderWeights:
         return "older_weights";
     }
     return "unknown";
 }
 
-SnapshotVerdict judgeSnapshot(const SnapshotT &snapshot, const SnapshotBasis &basis)
+SnapshotValidity validateSnapshot(const SnapshotT &snapshot, const SnapshotContext &context)
 {
-    if (snapshot.environment != basis.environment)
-        return SnapshotVerdict::OtherEnvironment;
-    if (snapshot.version < LowestSnapshotVersion || snapshot.version > SnapshotVersion)
-        return SnapshotVerdict::IncompatibleVersion;
+    if (snapshot.environment != context.environment)
+        return SnapshotValidity::OtherEnvironment;
+    if (snapshot.version < MinSnapshotVersion || snapshot.version > SnapshotVersion)
+        return SnapshotValidity::IncompatibleVersion;
     // A sibling that is ahead has newer weights than this instance, whose own configuration will
     // follow; one that is behind must agree on the weights of every model that both know.
-    if (snapshot.generation >= basis.generation)
-        return SnapshotVerdict::Take;
+    if (snapshot.generation >= context.generation)
+        return SnapshotValidity::Take;
     const bool agrees =
         std::all_of(snapshot.weights.begin(), snapshot.weights.end(),
-                    [&basis](const Peer::Wire::ModelWeights &row) {
-                        const auto it = basis.weights.find(row.model());
-                        return it == basis.weights.end() || it->second == row.weights();
+                    [&context](const Peer::Wire::ModelWeights &row) {
+                        const auto it = context.weights.find(row.model());
+                        return it == context.weights.end() || it->second == row.weights();
                     });
-    return agrees ? SnapshotVerdict::Take : SnapshotVerdict::OlderWeights;
+    return agrees ? SnapshotValidity::Take : SnapshotValidity::OlderWeights;
 }
 
-SnapshotCollector::SnapshotCollector(SnapshotBasis basis, std::chrono::milliseconds warmUptime)
-    : m_basis(std::move(basis))
+SnapshotCollector::SnapshotCollector(SnapshotContext context, std::chrono::milliseconds warmUptime)
+    : m_context(std::move(context))
     , m_warmUptime(warmUptime)
 { }
 
 std::vector<Member> SnapshotCollector::add(const SnapshotT &snapshot, const std::string &sibling,
                                            SharedState &state)
 {
-    const auto verdict = judgeSnapshot(snapshot, m_basis);
-    if (verdict != SnapshotVerdict::Take) {
+    const auto validity = validateSnapshot(snapshot, m_context);
+    if (validity != SnapshotValidity::Take) {
         Core::logEvent(Core::EventId::SnapshotRefused,
-                       {{"peer", sibling}, {"cause", std::string(snapshotVerdictName(verdict))}});
+                       {{"peer", sibling}, {"cause", std::string(snapshotValidityName(validity))}});
         return {};
     }
     Core::logEvent(Core::EventId::SnapshotTaken, {{"peer", sibling}});
     state.receive(snapshot.records);
     const bool warm = snapshot.uptime_ms >= static_cast<std::uint64_t>(m_warmUptime.count());
-    m_result = std::max(m_result, warm ? WarmStart::Full : WarmStart::Partial);
+    m_result = std::max(m_result, warm ? WarmStartResult::Full : WarmStartResult::Partial);
     return fromWire(snapshot.members);
 }
 
--- a/Libraries/LibMembership/Snapshot.h
+++ b/Libraries/LibMembership/Snapshot.h
@@ -18,7 +18,7 @@
 constexpr std::uint16_t SnapshotVersion = 1;
 
 /// What an instance has in force, which a snapshot must fit.
-struct SnapshotBasis
+struct SnapshotContext
 {
     std::string environment;
     /// 0 while there is no configuration yet.
@@ -30,12 +30,13 @@
 
 /// The answer to a starting sibling: members and the most valuable shared state, at most as many
 /// bytes as the request and the limit allow. Throws Error(PeerRejected) for another environment.
-Peer::Wire::SnapshotT makeSnapshot(const SnapshotBasis &basis, const std::vector<Member> &members,
-                                   const SharedState &state, std::chrono::milliseconds uptime,
+Peer::Wire::SnapshotT makeSnapshot(const SnapshotContext &context,
+                                   const std::vector<Member> &members, const SharedState &state,
+                                   std::chrono::milliseconds uptime,
                                    const Peer::Wire::SnapshotRequestT &request,
                                    std::size_t maxBytes);
 
-enum class SnapshotVerdict {
+enum class SnapshotValidity {
     Take,
     OtherEnvironment,
     IncompatibleVersion,
@@ -43,13 +44,14 @@
     OlderWeights,
 };
 
-std::string_view snapshotVerdictName(SnapshotVerdict verdict);
+std::string_view snapshotValidityName(SnapshotValidity validity);
 
 /// Whether a starting instance may use the snapshot.
-SnapshotVerdict judgeSnapshot(const Peer::Wire::SnapshotT &snapshot, const SnapshotBasis &basis);
+SnapshotValidity validateSnapshot(const Peer::Wire::SnapshotT &snapshot,
+                                  const SnapshotContext &context);
 
 /// How much the siblings' snapshots were worth.
-enum class WarmStart {
+enum class WarmStartResult {
     /// No usable snapshot: the prefix-cache index is empty, and prefixes go to preferred
     /// upstreams by hashing alone.
     None,
@@ -65,7 +67,7 @@
 class SnapshotCollector
 {
 public:
-    SnapshotCollector(SnapshotBasis basis, std::chrono::milliseconds warmUptime);
+    SnapshotCollector(SnapshotContext context, std::chrono::milliseconds warmUptime);
 
     /// Judges a snapshot, logs it, and merges it into the state if it may be used. Its members are
     /// given back for ProbeService::adopt().
@@ -73,13 +75,13 @@
                             SharedState &state);
 
     /// Whether there is no use in asking another sibling.
-    bool isDone() const { return m_result == WarmStart::Full; }
-    WarmStart result() const { return m_result; }
+    bool isDone() const { return m_result == WarmStartResult::Full; }
+    WarmStartResult result() const { return m_result; }
 
 private:
-    const SnapshotBasis m_basis;
+    const SnapshotContext m_context;
     const std::chrono::milliseconds m_warmUptime;
-    WarmStart m_result = WarmStart::None;
+    WarmStartResult m_result = WarmStartResult::None;
 };
 
 } // namespace Membership
--- a/Libraries/LibSiblings/SharedStateBridge.cpp
+++ b/Libraries/LibSiblings/SharedStateBridge.cpp
@@ -76,17 +76,18 @@
     }
 }
 
-Membership::SnapshotBasis SharedStateBridge::basis() const
+Membership::SnapshotContext SharedStateBridge::snapshotContext() const
 {
-    Membership::SnapshotBasis basis;
-    basis.environment = m_instance.settings().environment;
+    Membership::SnapshotContext snapshotContext;
+    snapshotContext.environment = m_instance.settings().environment;
     const auto configuration = m_instance.configuration();
-    basis.generation = configuration.generation;
+    snapshotContext.generation = configuration.generation;
     if (!configuration.document)
-        return basis;
+        return snapshotContext;
     for (const auto &model : configuration.document->models())
-        basis.weights[Core::hash64(model.id.value())] = Core::hash64(model.weightsVersion);
-    return basis;
+        snapshotContext.weights[Core::hash64(model.id.value())] =
+            Core::hash64(model.weightsVersion);
+    return snapshotContext;
 }
 
 void SharedStateBridge::receive(const Membership::SharedItem &item, std::chrono::milliseconds age)
--- a/Libraries/LibSiblings/SharedStateBridge.h
+++ b/Libraries/LibSiblings/SharedStateBridge.h
@@ -26,7 +26,7 @@
     /// Publishes what this instance has observed since the last call.
     void publish();
     /// What a snapshot for this instance must fit.
-    Membership::SnapshotBasis basis() const;
+    Membership::SnapshotContext snapshotContext() const;
 
 private:
     void receive(const Membership::SharedItem &item, std::chrono::milliseconds age);
--- a/Libraries/LibSiblings/SiblingService.cpp
+++ b/Libraries/LibSiblings/SiblingService.cpp
@@ -230,8 +230,9 @@
 {
     const auto uptime =
         std::chrono::duration_cast<std::chrono::milliseconds>(m_instance.clock().now() - m_started);
-    return Peer::makeBody(Membership::makeSnapshot(
-        m_bridge.basis(), m_probes->live(), m_bridge.state(), uptime, request, SnapshotLimitBytes));
+    return Peer::makeBody(Membership::makeSnapshot(m_bridge.snapshotContext(), m_probes->live(),
+                                                   m_bridge.state(), uptime, request,
+                                                   SnapshotLimitBytes));
 }
 
 Peer::Body SiblingService::answerDocument() const
--- a/Libraries/LibSiblings/WarmStart.cpp
+++ b/Libraries/LibSiblings/WarmStart.cpp
@@ -19,16 +19,17 @@
     , m_bridge(bridge)
 { }
 
-boost::asio::awaitable<Membership::WarmStart> WarmStart::run(std::vector<std::string> addresses)
+boost::asio::awaitable<Membership::WarmStartResult>
+WarmStart::run(std::vector<std::string> addresses)
 {
-    Membership::SnapshotCollector collector(m_bridge.basis(), WarmUptime);
+    Membership::SnapshotCollector collector(m_bridge.snapshotContext(), WarmUptime);
     if (addresses.size() > SiblingsAsked)
         addresses.resize(SiblingsAsked);
     for (const auto &address : addresses) {
         if (collector.isDone())
             break;
         Peer::Wire::SnapshotRequestT request;
-        request.environment = m_bridge.basis().environment;
+        request.environment = m_bridge.snapshotContext().environment;
         request.version = Membership::SnapshotVersion;
         request.max_bytes = SnapshotBytes;
         try {
--- a/Libraries/LibSiblings/WarmStart.h
+++ b/Libraries/LibSiblings/WarmStart.h
@@ -21,7 +21,7 @@
               SharedStateBridge &bridge);
 
     /// Tries the addresses in turn. Returns how much the answers were worth.
-    boost::asio::awaitable<Membership::WarmStart> run(std::vector<std::string> addresses);
+    boost::asio::awaitable<Membership::WarmStartResult> run(std::vector<std::string> addresses);
 
 private:
     Peer::PeerClient &m_client;
--- a/Tests/LibMembership/FakeFleet.cpp
+++ b/Tests/LibMembership/FakeFleet.cpp
@@ -89,14 +89,14 @@
     const bool lost = std::uniform_real_distribution<>(0, 1)(m_rng) < loss;
     if (lost || (isCut && isCut(from, to)))
         return;
-    const std::chrono::milliseconds delay(
-        1 + m_rng() % static_cast<std::uint64_t>(longestDelay.count()));
+    const std::chrono::milliseconds delay(1
+                                          + m_rng() % static_cast<std::uint64_t>(maxDelay.count()));
     m_deliveries.push({now() + delay, ++m_order, to, std::move(payload)});
 }
 
 void FakeFleet::deliverDue()
 {
-    std::vector<Delivery> held;
+    std::vector<Delivery> deferred;
     while (!m_deliveries.empty() && m_deliveries.top().time <= now()) {
         auto delivery = m_deliveries.top();
         m_deliveries.pop();
@@ -105,14 +105,14 @@
             continue;
         if (node.frozen) {
             // The machine keeps what arrives until the process goes on.
-            held.push_back(std::move(delivery));
+            deferred.push_back(std::move(delivery));
             continue;
         }
         node.bytesReceived += delivery.payload.size() + FrameBytes;
         const auto message = Peer::decodeMessage(delivery.payload).value();
         node.service->receive(*Membership::fromBody(message.body));
     }
-    for (auto &delivery : held)
+    for (auto &delivery : deferred)
         m_deliveries.push(std::move(delivery));
 }
 
--- a/Tests/LibMembership/FakeFleet.h
+++ b/Tests/LibMembership/FakeFleet.h
@@ -59,7 +59,7 @@
     std::vector<Event> events;
     /// The share of messages that get lost.
     double loss = 0;
-    std::chrono::milliseconds longestDelay {20};
+    std::chrono::milliseconds maxDelay {20};
     /// Whether messages from one address to another are lost.
     std::function<bool(std::size_t from, std::size_t to)> isCut;
 
--- a/Tests/LibMembership/TestMemberTable.cpp
+++ b/Tests/LibMembership/TestMemberTable.cpp
@@ -63,10 +63,10 @@
     const Membership::MembershipSettings settings;
     MemberTable table(settings, [](const Member &, Membership::MemberChange) {});
     const auto former = member("a", 1, 0, MemberState::Alive);
-    auto elsewhere = member("a", 2, 0, MemberState::Alive);
-    elsewhere.address = "other:7000";
+    auto atOtherAddress = member("a", 2, 0, MemberState::Alive);
+    atOtherAddress.address = "other:7000";
     table.merge(former, {});
-    table.merge(elsewhere, {});
+    table.merge(atOtherAddress, {});
     CHECK(table.find(former.id)->state == MemberState::Suspect);
     table.merge(member("a", 3, 0, MemberState::Alive), {});
     CHECK(table.find(former.id)->state == MemberState::Dead);
@@ -88,11 +88,11 @@
     REQUIRE(updates.size() == settings.updatesPerMessage);
     CHECK(updates.front().id.instance.value() == "new");
 
-    const auto accused = member("old-7", 1, 0, MemberState::Suspect);
-    table.suspect(accused.id, {});
-    const auto toAccused = table.takeUpdates(accused.id, 0, rng);
-    REQUIRE(toAccused.size() == 1);
-    CHECK(toAccused.front().id == accused.id);
+    const auto suspected = member("old-7", 1, 0, MemberState::Suspect);
+    table.suspect(suspected.id, {});
+    const auto updatesForSuspected = table.takeUpdates(suspected.id, 0, rng);
+    REQUIRE(updatesForSuspected.size() == 1);
+    CHECK(updatesForSuspected.front().id == suspected.id);
 }
 
 TEST_CASE("the size estimate of a member is no less than what it takes in a message")
--- a/Tests/LibMembership/TestProbeService.cpp
+++ b/Tests/LibMembership/TestProbeService.cpp
@@ -10,7 +10,7 @@
 constexpr auto Period = 1'000ms;
 
 /// Starts a fleet and runs it until everybody knows everybody.
-void settle(FakeFleet &fleet, std::size_t count, std::size_t dataCentres)
+void startAndConverge(FakeFleet &fleet, std::size_t count, std::size_t dataCentres)
 {
     fleet.addMany(count, dataCentres);
     fleet.listAll();
@@ -37,7 +37,7 @@
 TEST_CASE("a member listed nowhere is found by peers' word")
 {
     FakeFleet fleet(5);
-    settle(fleet, 8, 2);
+    startAndConverge(fleet, 8, 2);
     const auto late = fleet.add("late", 1, "harju-1", "10.0.9.9:7000");
     fleet.nodes[late].service->noteListed({fleet.nodes[0].service->self().address});
     fleet.run(20 * Period);
@@ -48,19 +48,19 @@
 {
     const std::size_t count = GENERATE(2, 8, 40);
     FakeFleet fleet(count);
-    settle(fleet, count, 4);
-    const auto dead = fleet.id(0);
+    startAndConverge(fleet, count, 4);
+    const auto failed = fleet.id(0);
     fleet.kill(0);
     const auto timeout = fleet.nodes[1].service->table().suspicionTimeout();
     fleet.run(timeout + 12 * Period);
-    CHECK(fleet.seenLiveBy(dead) == 0);
+    CHECK(fleet.seenLiveBy(failed) == 0);
     CHECK(fleet.isComplete());
 }
 
 TEST_CASE("one path cut in one direction drops nobody")
 {
     FakeFleet fleet(7);
-    settle(fleet, 8, 2);
+    startAndConverge(fleet, 8, 2);
     fleet.isCut = [](std::size_t from, std::size_t to) { return from == 0 && to == 1; };
     fleet.run(120 * Period);
     CHECK(fleet.count(MemberChange::Died) == 0);
@@ -70,12 +70,12 @@
 TEST_CASE("a member that hears nobody does not make the others drop each other")
 {
     FakeFleet fleet(7);
-    settle(fleet, 8, 2);
+    startAndConverge(fleet, 8, 2);
     fleet.isCut = [](std::size_t, std::size_t to) { return to == 0; };
     fleet.run(60 * Period);
     for (const auto &event : fleet.events) {
-        const bool ofOther = event.observer != 0 && event.member != fleet.id(0);
-        CHECK_FALSE((ofOther && event.change == MemberChange::Died));
+        const bool isAboutOthers = event.observer != 0 && event.member != fleet.id(0);
+        CHECK_FALSE((isAboutOthers && event.change == MemberChange::Died));
     }
     fleet.isCut = nullptr;
     fleet.run(30 * Period);
@@ -85,7 +85,7 @@
 TEST_CASE("a frozen member that wakes is taken back and has dropped nobody itself")
 {
     FakeFleet fleet(9);
-    settle(fleet, 8, 2);
+    startAndConverge(fleet, 8, 2);
     fleet.nodes[0].frozen = true;
     fleet.run(60 * Period);
     CHECK(fleet.seenLiveBy(fleet.id(0)) == 0);
@@ -99,7 +99,7 @@
 TEST_CASE("a member that was frozen with a suspicion in hand does not act on it when it wakes")
 {
     FakeFleet fleet(9);
-    settle(fleet, 8, 2);
+    startAndConverge(fleet, 8, 2);
     fleet.nodes[1].frozen = true;
     fleet.run(3 * Period);
     REQUIRE(fleet.nodes[0].service->table().find(fleet.id(1))->state
@@ -117,7 +117,7 @@
 TEST_CASE("a short pause drops nobody")
 {
     FakeFleet fleet(9);
-    settle(fleet, 40, 2);
+    startAndConverge(fleet, 40, 2);
     fleet.nodes[0].frozen = true;
     fleet.run(4 * Period);
     fleet.nodes[0].frozen = false;
@@ -128,9 +128,9 @@
 TEST_CASE("loss, delay and reordering drop no live member")
 {
     FakeFleet fleet(GENERATE(13, 14, 15));
-    settle(fleet, 60, 4);
+    startAndConverge(fleet, 60, 4);
     fleet.loss = 0.05;
-    fleet.longestDelay = 250ms;
+    fleet.maxDelay = 250ms;
     fleet.run(200 * Period);
     CHECK(fleet.count(MemberChange::Died) == 0);
     // At most one suspicion a hundred probes; a suspicion is seen by all others.
@@ -141,7 +141,7 @@
 TEST_CASE("a member that leaves is told from one that died, and suspected by nobody")
 {
     FakeFleet fleet(15);
-    settle(fleet, 8, 2);
+    startAndConverge(fleet, 8, 2);
     fleet.nodes[0].service->leave();
     fleet.run(2 * Period);
     fleet.kill(0);
@@ -154,7 +154,7 @@
 TEST_CASE("a restarted member replaces the former process without a suspicion")
 {
     FakeFleet fleet(17);
-    settle(fleet, 8, 2);
+    startAndConverge(fleet, 8, 2);
     const auto former = fleet.id(0);
     const auto address = fleet.nodes[0].service->self().address;
     fleet.kill(0);
@@ -170,7 +170,7 @@
 TEST_CASE("another instance at a reused address is told from the former one")
 {
     FakeFleet fleet(19);
-    settle(fleet, 8, 2);
+    startAndConverge(fleet, 8, 2);
     const auto former = fleet.id(0);
     const auto address = fleet.nodes[0].service->self().address;
     fleet.kill(0);
@@ -184,20 +184,20 @@
 TEST_CASE("two processes that use one instance id at a time are both kept and told apart")
 {
     FakeFleet fleet(21);
-    settle(fleet, 8, 2);
-    const auto twin = fleet.add("entry-0", 2, "harju-1", "10.0.9.9:7000");
-    fleet.nodes[twin].service->noteListed({fleet.nodes[1].service->self().address});
+    startAndConverge(fleet, 8, 2);
+    const auto duplicate = fleet.add("entry-0", 2, "harju-1", "10.0.9.9:7000");
+    fleet.nodes[duplicate].service->noteListed({fleet.nodes[1].service->self().address});
     fleet.run(40 * Period);
     CHECK(fleet.seenLiveBy(fleet.id(0)) == 8);
-    CHECK(fleet.seenLiveBy(fleet.id(twin)) == 8);
-    CHECK(fleet.nodes[0].service->rivalSightings() > 0);
-    CHECK(fleet.nodes[twin].service->rivalSightings() == 0);
+    CHECK(fleet.seenLiveBy(fleet.id(duplicate)) == 8);
+    CHECK(fleet.nodes[0].service->laterIncarnationsSeen() > 0);
+    CHECK(fleet.nodes[duplicate].service->laterIncarnationsSeen() == 0);
 }
 
 TEST_CASE("a data centre that is cut off goes on with what it knows and is found again")
 {
     FakeFleet fleet(23);
-    settle(fleet, 24, 4);
+    startAndConverge(fleet, 24, 4);
     fleet.isCut = [](std::size_t from, std::size_t to) { return (from % 4 == 0) != (to % 4 == 0); };
     fleet.run(120 * Period);
     CHECK(fleet.nodes[0].service->table().liveCount() == 5);
@@ -210,27 +210,27 @@
 TEST_CASE("a lagging list neither drops the living nor brings back the dead")
 {
     FakeFleet fleet(25);
-    settle(fleet, 8, 2);
+    startAndConverge(fleet, 8, 2);
     fleet.list({"10.0.77.1:7000"});
     fleet.run(10 * Period);
     CHECK(fleet.isComplete());
-    const auto dead = fleet.id(0);
+    const auto failed = fleet.id(0);
     const auto address = fleet.nodes[0].service->self().address;
     fleet.kill(0);
     fleet.run(30 * Period);
     fleet.list({address});
     fleet.run(30 * Period);
-    CHECK(fleet.seenLiveBy(dead) == 0);
+    CHECK(fleet.seenLiveBy(failed) == 0);
 }
 
 TEST_CASE("a node's bytes keep to their share and do not grow with the fleet")
 {
     // What the control budget of 12 KB a second leaves beside shared state, sent and received.
-    constexpr double ShareOfControl = 6'144;
+    constexpr double MaxBytesPerSecond = 6'144;
     std::vector<double> rates;
     for (const std::size_t count : {20, 80}) {
         FakeFleet fleet(count);
-        settle(fleet, count, 4);
+        startAndConverge(fleet, count, 4);
         for (auto &node : fleet.nodes)
             node.bytesSent = node.bytesReceived = 0;
         fleet.run(30 * Period);
@@ -241,7 +241,7 @@
             most = std::max(most, rate);
             sum += rate;
         }
-        CHECK(most <= ShareOfControl);
+        CHECK(most <= MaxBytesPerSecond);
         rates.push_back(sum / static_cast<double>(count));
     }
     // Names and addresses get a digit longer; that is all that may grow.
--- a/Tests/LibMembership/TestSharedState.cpp
+++ b/Tests/LibMembership/TestSharedState.cpp
@@ -35,7 +35,7 @@
 std::vector<std::uint64_t> crashes(const SharedState &state, std::uint64_t digest)
 {
     std::vector<std::uint64_t> seen;
-    for (const auto &record : state.copy(1U << 20)) {
+    for (const auto &record : state.snapshotRecords(1U << 20)) {
         const auto item = itemFromWire(record);
         const auto *crash = std::get_if<PoisonCrash>(&*item);
         if (crash != nullptr && crash->requestDigest == digest)
@@ -46,10 +46,10 @@
 }
 
 /// Everything in the state, in an order of its own.
-std::vector<std::string> allOf(const SharedState &state)
+std::vector<std::string> sortedRecords(const SharedState &state)
 {
     std::vector<std::string> all;
-    for (const auto &record : state.copy(1U << 20))
+    for (const auto &record : state.snapshotRecords(1U << 20))
         all.emplace_back(reinterpret_cast<const char *>(&record), sizeof(record));
     std::sort(all.begin(), all.end());
     return all;
@@ -84,7 +84,7 @@
             SharedState state(clock, {}, {});
             for (const auto &item : randomItems(rng, 10))
                 state.publish(item);
-            for (const auto &record : state.copy(1U << 20))
+            for (const auto &record : state.snapshotRecords(1U << 20))
                 records.push_back(record);
         }
         SharedState one(clock, {}, {});
@@ -93,7 +93,7 @@
         std::shuffle(records.begin(), records.end(), rng);
         other.receive(records);
         other.receive(records);
-        CHECK(allOf(one) == allOf(other));
+        CHECK(sortedRecords(one) == sortedRecords(other));
     }
 }
 
@@ -105,7 +105,7 @@
     left.publish(PoisonCrash {1, 10});
     right.publish(PoisonCrash {1, 10});
     right.publish(PoisonCrash {1, 11});
-    left.receive(right.copy(1'000));
+    left.receive(right.snapshotRecords(1'000));
     CHECK(crashes(left, 1) == std::vector<std::uint64_t> {10, 11});
 }
 
@@ -133,14 +133,14 @@
     SharedState behind(clock, {}, {});
     behind.publish(ConfigurationGeneration {3, 1});
     behind.publish(UpstreamHealth {1, 1, UpstreamCondition::Leaving});
-    state.receive(behind.copy(1'000));
-    CHECK(state.copy(1'000).front().first() == 5);
+    state.receive(behind.snapshotRecords(1'000));
+    CHECK(state.snapshotRecords(1'000).front().first() == 5);
     CHECK(state.size() == 2);
 
-    const auto late = behind.copy(1'000);
+    const auto late = behind.snapshotRecords(1'000);
     clock.advance(9s);
     SharedState fresh(clock, {}, {});
-    auto aged = behind.copy(1'000);
+    auto aged = behind.snapshotRecords(1'000);
     clock.advance(2s);
     state.expire();
     CHECK(state.size() == 1);
@@ -207,7 +207,7 @@
     }
     // Two items at two instances, and one version more of each.
     CHECK(sent <= 8 * settings.maxTransmissions);
-    CHECK(allOf(left) == allOf(right));
+    CHECK(sortedRecords(left) == sortedRecords(right));
 }
 
 TEST_CASE("a publisher sends no more than its budget, whatever there is to say")
--- a/Tests/LibMembership/TestSnapshot.cpp
+++ b/Tests/LibMembership/TestSnapshot.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-const SnapshotBasis basis {"trial", 7, 99, {{1, 10}, {2, 20}}};
+const SnapshotContext context {"trial", 7, 99, {{1, 10}, {2, 20}}};
 
 std::vector<Member> someMembers(std::size_t count)
 {
@@ -28,7 +28,7 @@
     const Core::ManualClock clock;
     SharedState state(clock, {}, {});
     state.publish(PrefixLocation {generation, 1, 1, 5});
-    const SnapshotBasis other {"trial", generation, 99, {{1, weights}}};
+    const SnapshotContext other {"trial", generation, 99, {{1, weights}}};
     Peer::Wire::SnapshotRequestT request;
     request.environment = "trial";
     request.max_bytes = 10'000;
@@ -39,21 +39,21 @@
 
 TEST_CASE("a snapshot is refused for its environment, its version or older weights")
 {
-    CHECK(judgeSnapshot(snapshot(7, 10), basis) == SnapshotVerdict::Take);
-    CHECK(judgeSnapshot(snapshot(6, 10), basis) == SnapshotVerdict::Take);
-    CHECK(judgeSnapshot(snapshot(8, 11), basis) == SnapshotVerdict::Take);
-    CHECK(judgeSnapshot(snapshot(6, 9), basis) == SnapshotVerdict::OlderWeights);
+    CHECK(validateSnapshot(snapshot(7, 10), context) == SnapshotValidity::Take);
+    CHECK(validateSnapshot(snapshot(6, 10), context) == SnapshotValidity::Take);
+    CHECK(validateSnapshot(snapshot(8, 11), context) == SnapshotValidity::Take);
+    CHECK(validateSnapshot(snapshot(6, 9), context) == SnapshotValidity::OlderWeights);
     auto foreign = snapshot(7, 10);
     foreign.environment = "production";
-    CHECK(judgeSnapshot(foreign, basis) == SnapshotVerdict::OtherEnvironment);
+    CHECK(validateSnapshot(foreign, context) == SnapshotValidity::OtherEnvironment);
     auto later = snapshot(7, 10);
     later.version = SnapshotVersion + 1;
-    CHECK(judgeSnapshot(later, basis) == SnapshotVerdict::IncompatibleVersion);
+    CHECK(validateSnapshot(later, context) == SnapshotValidity::IncompatibleVersion);
     Peer::Wire::SnapshotRequestT request;
     request.environment = "production";
     const Core::ManualClock clock;
     const SharedState state(clock, {}, {});
-    CHECK_THROWS_AS(makeSnapshot(basis, {}, state, 1h, request, 1'000), Core::Error);
+    CHECK_THROWS_AS(makeSnapshot(context, {}, state, 1h, request, 1'000), Core::Error);
 }
 
 TEST_CASE("a snapshot keeps to the smaller of both limits")
@@ -66,7 +66,7 @@
     request.environment = "trial";
     request.max_bytes = 60'000;
     const auto size = [&](std::size_t maxBytes) {
-        auto made = makeSnapshot(basis, someMembers(340), state, 1h, request, maxBytes);
+        auto made = makeSnapshot(context, someMembers(340), state, 1h, request, maxBytes);
         const auto body = Peer::makeBody(std::move(made));
         return Peer::encodeMessage(Peer::Wire::Purpose::Response, 1, body).size();
     };
@@ -79,13 +79,13 @@
 {
     const Core::ManualClock clock;
     SharedState state(clock, {}, {});
-    SnapshotCollector collector(basis, 60s);
-    CHECK(collector.result() == WarmStart::None);
+    SnapshotCollector collector(context, 60s);
+    CHECK(collector.result() == WarmStartResult::None);
     CHECK(collector.add(snapshot(6, 9), "a", state).empty());
-    CHECK(collector.result() == WarmStart::None);
+    CHECK(collector.result() == WarmStartResult::None);
     CHECK(collector.add(snapshot(7, 10, 2s), "b", state).size() == 3);
     CHECK(collector.add(snapshot(8, 10, 3s), "c", state).size() == 3);
-    CHECK(collector.result() == WarmStart::Partial);
+    CHECK(collector.result() == WarmStartResult::Partial);
     CHECK(state.size() == 2);
     CHECK_FALSE(collector.isDone());
     collector.add(snapshot(9, 10, 2min), "d", state);
