--- a/Libraries/LibSiblings/SharedStateBridge.cpp
+++ b/Libraries/LibSiblings/SharedStateBridge.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr std::size_t PublishedSuspects = 64;
-constexpr std::size_t PublishedPrefixes = 128;
+constexpr std::size_t MaxPublishedSuspects = 64;
+constexpr std::size_t MaxPublishedPrefixes = 128;
 constexpr std::size_t MaxPendingPrefixLocations = 8192;
 
 /// A request hotter than this a minute is shared as this.
@@ -33,14 +33,14 @@
 void SharedStateBridge::publish()
 {
     m_state.expire();
-    retryImports();
+    retryPendingImports();
     const auto configuration = m_instance.configuration();
     if (configuration.generation > 0) {
         Membership::ConfigurationGeneration generation;
         generation.generation = static_cast<std::uint32_t>(configuration.generation);
         m_state.publish(generation);
     }
-    for (const auto &record : m_instance.suspects().records(PublishedSuspects)) {
+    for (const auto &record : m_instance.suspects().records(MaxPublishedSuspects)) {
         for (const auto &note : record.crashes)
             m_state.publish(Membership::PoisonCrash {record.digest, note.crash});
     }
@@ -63,7 +63,7 @@
 
 void SharedStateBridge::publishPrefixes()
 {
-    for (const auto &prefix : m_instance.placement().exportFrequentPrefixes(PublishedPrefixes)) {
+    for (const auto &prefix : m_instance.placement().exportFrequentPrefixes(MaxPublishedPrefixes)) {
         for (const auto &holder : prefix.holders) {
             Membership::PrefixLocation location;
             location.prefix = prefix.block;
@@ -93,22 +93,22 @@
 void SharedStateBridge::receive(const Membership::SharedItem &item, std::chrono::milliseconds age)
 {
     if (const auto *generation = std::get_if<Membership::ConfigurationGeneration>(&item))
-        take(*generation);
+        apply(*generation);
     else if (const auto *crash = std::get_if<Membership::PoisonCrash>(&item))
-        take(*crash, age);
+        apply(*crash, age);
     else if (const auto *upstream = std::get_if<Membership::UpstreamHealth>(&item))
-        take(*upstream);
+        apply(*upstream);
     else if (const auto *location = std::get_if<Membership::PrefixLocation>(&item))
-        take(*location, age);
+        apply(*location, age);
 }
 
-void SharedStateBridge::take(const Membership::ConfigurationGeneration &generation)
+void SharedStateBridge::apply(const Membership::ConfigurationGeneration &generation)
 {
     if (generation.generation > m_instance.configuration().generation && m_newerConfiguration)
         m_newerConfiguration(generation.generation);
 }
 
-void SharedStateBridge::take(const Membership::PoisonCrash &crash, std::chrono::milliseconds age)
+void SharedStateBridge::apply(const Membership::PoisonCrash &crash, std::chrono::milliseconds age)
 {
     Admission::SuspectRecord record;
     record.digest = crash.requestDigest;
@@ -117,7 +117,7 @@
     m_instance.suspects().merge(records);
 }
 
-void SharedStateBridge::take(const Membership::UpstreamHealth &health)
+void SharedStateBridge::apply(const Membership::UpstreamHealth &health)
 {
     if (health.condition != Membership::UpstreamCondition::Leaving)
         return;
@@ -128,16 +128,17 @@
                    {{"upstream", upstream->id().value()}, {"source", "sibling"}});
 }
 
-void SharedStateBridge::take(const Membership::PrefixLocation &location,
-                             std::chrono::milliseconds age)
+void SharedStateBridge::apply(const Membership::PrefixLocation &location,
+                              std::chrono::milliseconds age)
 {
     // A starting instance gets a sibling's prefix locations before it has heard from the upstreams.
-    if (!import(location, age) && m_pendingPrefixLocations.size() < MaxPendingPrefixLocations)
+    if (!importLocation(location, age)
+        && m_pendingPrefixLocations.size() < MaxPendingPrefixLocations)
         m_pendingPrefixLocations.push_back({location, m_instance.clock().now() - age});
 }
 
-bool SharedStateBridge::import(const Membership::PrefixLocation &location,
-                               std::chrono::milliseconds age)
+bool SharedStateBridge::importLocation(const Membership::PrefixLocation &location,
+                                       std::chrono::milliseconds age)
 {
     const auto upstream = findUpstream(location.upstream);
     if (!upstream || static_cast<std::uint32_t>(upstream->incarnation()) != location.incarnation)
@@ -151,13 +152,14 @@
     return true;
 }
 
-void SharedStateBridge::retryImports()
+void SharedStateBridge::retryPendingImports()
 {
     const auto now = m_instance.clock().now();
-    std::erase_if(m_pendingPrefixLocations, [this, now](const PendingPrefixLocation &waiting) {
+    std::erase_if(m_pendingPrefixLocations, [this, now](const PendingPrefixLocation &pending) {
         const auto age =
-            std::chrono::duration_cast<std::chrono::milliseconds>(now - waiting.observed);
-        return age > Membership::lifetime(waiting.location) || import(waiting.location, age);
+            std::chrono::duration_cast<std::chrono::milliseconds>(now - pending.observed);
+        return age > Membership::lifetime(pending.location)
+               || importLocation(pending.location, age);
     });
 }
 
--- a/Libraries/LibSiblings/SharedStateBridge.h
+++ b/Libraries/LibSiblings/SharedStateBridge.h
@@ -30,14 +30,14 @@
 
 private:
     void receive(const Membership::SharedItem &item, std::chrono::milliseconds age);
-    void take(const Membership::ConfigurationGeneration &generation);
-    void take(const Membership::PoisonCrash &crash, std::chrono::milliseconds age);
-    void take(const Membership::UpstreamHealth &health);
-    void take(const Membership::PrefixLocation &location, std::chrono::milliseconds age);
+    void apply(const Membership::ConfigurationGeneration &generation);
+    void apply(const Membership::PoisonCrash &crash, std::chrono::milliseconds age);
+    void apply(const Membership::UpstreamHealth &health);
+    void apply(const Membership::PrefixLocation &location, std::chrono::milliseconds age);
     /// Hands a sibling's prefix location to the placement; false while the upstream is not known
     /// here under the incarnation that it is about.
-    bool import(const Membership::PrefixLocation &location, std::chrono::milliseconds age);
-    void retryImports();
+    bool importLocation(const Membership::PrefixLocation &location, std::chrono::milliseconds age);
+    void retryPendingImports();
     Router::UpstreamPtr findUpstream(std::uint64_t idHash) const;
     void publishUpstreams();
     void publishPrefixes();
--- a/Libraries/LibSiblings/SiblingService.cpp
+++ b/Libraries/LibSiblings/SiblingService.cpp
@@ -25,7 +25,7 @@
 constexpr unsigned TicksPerReport = 4;
 constexpr std::chrono::milliseconds ClaimTimeout {500};
 constexpr std::chrono::milliseconds DocumentTimeout {2'000};
-constexpr std::size_t AnnouncementBytes = 512;
+constexpr std::size_t UrgentBroadcastBytes = 512;
 constexpr std::size_t SnapshotLimitBytes = 256 * 1024;
 
 Peer::PeerAddress peerAddress(const std::string &address)
@@ -43,9 +43,9 @@
     : m_context(context)
     , m_instance(instance)
     , m_reader(reader)
-    , m_started(instance.clock().now())
+    , m_startedAt(instance.clock().now())
     , m_settings(peerSettings(settings))
-    , m_bridge(instance, [this](std::uint64_t) { fetchDocumentSomewhere(); })
+    , m_bridge(instance, [this](std::uint64_t) { fetchDocumentFromRandomSibling(); })
 {
     m_settings.check();
     m_server =
@@ -106,7 +106,7 @@
 void SiblingService::start()
 {
     m_server->start();
-    m_instance.setCrashHook([this] { asio::post(m_context, [this] { announce(); }); });
+    m_instance.setCrashHook([this] { asio::post(m_context, [this] { broadcastUrgentState(); }); });
     asio::co_spawn(m_context, runTimers(), asio::detached);
     asio::co_spawn(m_context, warmUp(), asio::detached);
 }
@@ -164,7 +164,7 @@
     WarmStart warmStart(*m_client, *m_probes, m_bridge);
     co_await warmStart.run(std::move(addresses));
     if (m_instance.configuration().generation == 0)
-        fetchDocumentSomewhere();
+        fetchDocumentFromRandomSibling();
 }
 
 void SiblingService::sendAdmissionReports()
@@ -177,10 +177,10 @@
     }
 }
 
-void SiblingService::announce()
+void SiblingService::broadcastUrgentState()
 {
     m_bridge.publish();
-    const auto records = m_bridge.state().pack(AnnouncementBytes);
+    const auto records = m_bridge.state().pack(UrgentBroadcastBytes);
     if (records.empty())
         return;
     for (const auto &member : otherMembers()) {
@@ -228,8 +228,8 @@
 
 Peer::Body SiblingService::answerSnapshot(const Peer::Wire::SnapshotRequestT &request) const
 {
-    const auto uptime =
-        std::chrono::duration_cast<std::chrono::milliseconds>(m_instance.clock().now() - m_started);
+    const auto uptime = std::chrono::duration_cast<std::chrono::milliseconds>(
+        m_instance.clock().now() - m_startedAt);
     return Peer::makeBody(Membership::makeSnapshot(m_bridge.snapshotContext(), m_probes->live(),
                                                    m_bridge.state(), uptime, request,
                                                    SnapshotLimitBytes));
@@ -246,7 +246,7 @@
     return Peer::makeBody(std::move(reply));
 }
 
-void SiblingService::fetchDocumentSomewhere()
+void SiblingService::fetchDocumentFromRandomSibling()
 {
     const auto members = otherMembers();
     if (members.empty() || m_isFetching || !m_reader)
--- a/Libraries/LibSiblings/SiblingService.h
+++ b/Libraries/LibSiblings/SiblingService.h
@@ -61,21 +61,21 @@
     boost::asio::awaitable<void> warmUp();
     void sendAdmissionReports();
     /// Sends what is most urgent to every sibling at once.
-    void announce();
+    void broadcastUrgentState();
     void receive(const Peer::PeerIdentity &peer, Peer::Body message);
     boost::asio::awaitable<Peer::Body> answer(Peer::Body request);
     Peer::Body answerDocument() const;
     Peer::Body answerClaim(const Peer::Wire::ClaimQueryT &query) const;
     Peer::Body answerSnapshot(const Peer::Wire::SnapshotRequestT &request) const;
     boost::asio::awaitable<void> fetchDocument(std::string address);
-    void fetchDocumentSomewhere();
+    void fetchDocumentFromRandomSibling();
     std::vector<Membership::Member> otherMembers() const;
     std::string addressOf(const Claims::Holder &holder) const;
 
     boost::asio::io_context &m_context;
     Router::Instance &m_instance;
     Configuration::ConfigurationReader *m_reader;
-    const Core::Clock::Monotonic m_started;
+    const Core::Clock::Monotonic m_startedAt;
     std::mt19937_64 m_rng {std::random_device {}()};
     Peer::PeerSettings m_settings;
     Peer::PeerCounters m_counters;
--- a/Libraries/LibSiblings/WarmStart.cpp
+++ b/Libraries/LibSiblings/WarmStart.cpp
@@ -8,7 +8,7 @@
 constexpr std::chrono::milliseconds WarmUptime {30'000};
 constexpr std::chrono::milliseconds SnapshotTimeout {1'000};
 constexpr std::uint32_t SnapshotBytes = 256 * 1024;
-constexpr std::size_t SiblingsAsked = 3;
+constexpr std::size_t MaxSiblingsAsked = 3;
 
 } // namespace
 
@@ -23,8 +23,8 @@
 WarmStart::run(std::vector<std::string> addresses)
 {
     Membership::SnapshotCollector collector(m_bridge.snapshotContext(), WarmUptime);
-    if (addresses.size() > SiblingsAsked)
-        addresses.resize(SiblingsAsked);
+    if (addresses.size() > MaxSiblingsAsked)
+        addresses.resize(MaxSiblingsAsked);
     for (const auto &address : addresses) {
         if (collector.isDone())
             break;
--- a/Tests/LibSiblings/TestSharedStateBridge.cpp
+++ b/Tests/LibSiblings/TestSharedStateBridge.cpp
@@ -28,7 +28,7 @@
         instance.directory().apply(list);
     }
 
-    void receiveHome(std::uint32_t incarnation)
+    void receiveLocation(std::uint32_t incarnation)
     {
         Membership::PrefixLocation location;
         location.prefix = Prefix;
@@ -38,14 +38,14 @@
         bridge.state().receive({Membership::toWire(location, 1, 100ms)});
     }
 
-    void hearFromUpstream(std::uint64_t incarnation)
+    void noteUpstreamIncarnation(std::uint64_t incarnation)
     {
         const auto upstream = instance.directory().all().front();
         upstream->noteIncarnation(incarnation);
         instance.placement().noteIncarnation(upstream->slot(), incarnation);
     }
 
-    bool believes() const
+    bool hasPrefix() const
     {
         auto &placement = const_cast<Router::Instance &>(instance).placement();
         for (const auto &prefix : placement.exportFrequentPrefixes(10)) {
@@ -61,22 +61,22 @@
 TEST_CASE("a sibling's belief counts once the upstream has been heard from")
 {
     Fixture fixture;
-    fixture.receiveHome(7);
-    CHECK_FALSE(fixture.believes());
-    fixture.hearFromUpstream(7);
+    fixture.receiveLocation(7);
+    CHECK_FALSE(fixture.hasPrefix());
+    fixture.noteUpstreamIncarnation(7);
     fixture.bridge.publish();
-    CHECK(fixture.believes());
+    CHECK(fixture.hasPrefix());
 }
 
 TEST_CASE("a sibling's belief about another incarnation never counts")
 {
     Fixture fixture;
-    fixture.receiveHome(7);
-    fixture.hearFromUpstream(8);
+    fixture.receiveLocation(7);
+    fixture.noteUpstreamIncarnation(8);
     fixture.bridge.publish();
-    CHECK_FALSE(fixture.believes());
+    CHECK_FALSE(fixture.hasPrefix());
     fixture.clock.advance(2min);
-    fixture.hearFromUpstream(9);
+    fixture.noteUpstreamIncarnation(9);
     fixture.bridge.publish();
-    CHECK_FALSE(fixture.believes());
+    CHECK_FALSE(fixture.hasPrefix());
 }
