--- a/Libraries/LibRouter/AdmissionGate.cpp
+++ b/Libraries/LibRouter/AdmissionGate.cpp
@@ -18,9 +18,9 @@
 
 /// What the waiting coroutine and the controller's hook share. Only the coroutine's thread touches
 /// it; the hook posts there.
-struct Wait
+struct PendingAdmission
 {
-    explicit Wait(const asio::any_io_executor &executor)
+    explicit PendingAdmission(const asio::any_io_executor &executor)
         : timer(executor, asio::steady_timer::time_point::max())
     { }
 
@@ -30,17 +30,17 @@
 };
 
 /// Ends the hook of a caller that went away when the wait is over.
-class CallerGoneScope
+class CallerGoneHookScope
 {
 public:
-    CallerGoneScope(Http::ServerExchange &exchange, std::function<void()> hook)
+    CallerGoneHookScope(Http::ServerExchange &exchange, std::function<void()> hook)
         : m_exchange(exchange)
     {
         m_exchange.setCallerGoneHook(std::move(hook));
     }
-    ~CallerGoneScope() { m_exchange.setCallerGoneHook({}); }
-    CallerGoneScope(const CallerGoneScope &) = delete;
-    CallerGoneScope &operator=(const CallerGoneScope &) = delete;
+    ~CallerGoneHookScope() { m_exchange.setCallerGoneHook({}); }
+    CallerGoneHookScope(const CallerGoneHookScope &) = delete;
+    CallerGoneHookScope &operator=(const CallerGoneHookScope &) = delete;
 
 private:
     Http::ServerExchange &m_exchange;
@@ -70,7 +70,7 @@
                                               Http::ServerExchange &exchange)
 {
     const auto executor = co_await asio::this_coro::executor;
-    const auto wait = std::make_shared<Wait>(executor);
+    const auto wait = std::make_shared<PendingAdmission>(executor);
     auto &controller = instance.admission();
     const auto group = ticket.group;
     const auto team = ticket.team;
@@ -81,7 +81,7 @@
                 wait->timer.cancel();
             });
         });
-    const CallerGoneScope scope(exchange, [wait, id, &controller] {
+    const CallerGoneHookScope scope(exchange, [wait, id, &controller] {
         wait->withdrawn = controller.withdraw(id);
         wait->timer.cancel();
     });
--- a/Libraries/LibRouter/AnswerSink.cpp
+++ b/Libraries/LibRouter/AnswerSink.cpp
@@ -24,8 +24,8 @@
         , m_publicId(std::move(publicId))
     { }
 
-    asio::awaitable<void> take(const CompletionChunk &chunk,
-                               std::uint64_t completionTokens) override
+    asio::awaitable<void> writeChunk(const CompletionChunk &chunk,
+                                     std::uint64_t completionTokens) override
     {
         co_await begin();
         const auto data = chunk.forCaller(m_publicId, m_model, completionTokens);
@@ -66,18 +66,18 @@
 };
 
 /// Keeps the text until the answer is complete.
-class WholeSink final : public AnswerSink
+class BufferingSink final : public AnswerSink
 {
 public:
-    WholeSink(Http::ServerExchange &exchange, const CompletionCall &call, std::string publicId)
+    BufferingSink(Http::ServerExchange &exchange, const CompletionCall &call, std::string publicId)
         : m_exchange(exchange)
         , m_model(call.model())
         , m_isChat(call.kind() == CompletionCall::Kind::Chat)
         , m_publicId(std::move(publicId))
     { }
 
-    asio::awaitable<void> take(const CompletionChunk &chunk,
-                               std::uint64_t completionTokens) override
+    asio::awaitable<void> writeChunk(const CompletionChunk &chunk,
+                                     std::uint64_t completionTokens) override
     {
         m_text += chunk.text();
         m_completionTokens = completionTokens;
@@ -141,7 +141,7 @@
 {
     if (call.isStream())
         return std::make_unique<StreamSink>(exchange, call.model(), std::move(publicId));
-    return std::make_unique<WholeSink>(exchange, call, std::move(publicId));
+    return std::make_unique<BufferingSink>(exchange, call, std::move(publicId));
 }
 
 } // namespace Router
--- a/Libraries/LibRouter/AnswerSink.h
+++ b/Libraries/LibRouter/AnswerSink.h
@@ -22,8 +22,8 @@
     virtual ~AnswerSink() = default;
 
     /// Takes the next chunk of the answer, in order.
-    virtual boost::asio::awaitable<void> take(const CompletionChunk &chunk,
-                                              std::uint64_t completionTokens) = 0;
+    virtual boost::asio::awaitable<void> writeChunk(const CompletionChunk &chunk,
+                                                    std::uint64_t completionTokens) = 0;
     /// Ends a complete answer.
     virtual boost::asio::awaitable<void> finish() = 0;
     /// Ends the answer with an explicit error.
--- a/Libraries/LibRouter/CallContext.cpp
+++ b/Libraries/LibRouter/CallContext.cpp
@@ -45,9 +45,9 @@
     context.contract = context.document->contract(context.team->id, group);
     if (!context.contract)
         throw Core::Error(Core::ErrorKind::Forbidden);
-    const auto asked = request.headers.find("X-Priority-Class");
-    const auto id =
-        asked ? Core::PriorityClassId(std::string(*asked)) : context.contract->defaultClass;
+    const auto requestedClass = request.headers.find("X-Priority-Class");
+    const auto id = requestedClass ? Core::PriorityClassId(std::string(*requestedClass))
+                                   : context.contract->defaultClass;
     if (!context.contract->allows(id))
         throw Core::Error(Core::ErrorKind::Forbidden,
                           "the contract does not allow the class '" + id.value() + "'");
--- a/Libraries/LibRouter/CompletionAttempt.cpp
+++ b/Libraries/LibRouter/CompletionAttempt.cpp
@@ -53,15 +53,15 @@
                                                AnswerProgress &progress)
 {
     Http::EventStreamParser events;
-    while (auto piece = co_await answer.readSome()) {
-        events.feed(*piece);
+    while (auto data = co_await answer.readSome()) {
+        events.feed(*data);
         while (auto event = events.next()) {
             if (event->data == "[DONE]")
                 continue;
             if (!event->kind.empty())
                 throw Core::Error(Core::ErrorKind::UpstreamFailed, "the upstream sent an error");
             const auto chunk = CompletionChunk::parse(event->data, attemptId).value();
-            co_await take(chunk, sink, progress);
+            co_await handleChunk(chunk, sink, progress);
             if (m_instance.clock().now() - m_context.arrivedAt > m_model.answerTimeout)
                 throw Core::Error(Core::ErrorKind::UpstreamTimedOut, "the answer takes too long");
             answer.setBodyTimeout(m_model.nextTokenTimeout);
@@ -71,8 +71,8 @@
         throw Core::Error(Core::ErrorKind::UpstreamFailed, "the stream ended before the answer");
 }
 
-asio::awaitable<void> CompletionAttempt::take(const CompletionChunk &chunk, AnswerSink &sink,
-                                              AnswerProgress &progress)
+asio::awaitable<void> CompletionAttempt::handleChunk(const CompletionChunk &chunk, AnswerSink &sink,
+                                                     AnswerProgress &progress)
 {
     const bool hasToken = !chunk.text().empty();
     const auto index = chunk.tokenIndex().value_or(progress.tokens);
@@ -95,7 +95,7 @@
         progress.promptTokens = chunk.promptTokens();
     if (chunk.cachedTokens())
         progress.cachedTokens = chunk.cachedTokens();
-    co_await sink.take(chunk, progress.tokens);
+    co_await sink.writeChunk(chunk, progress.tokens);
     progress.isComplete = progress.isComplete || chunk.isLast();
 }
 
--- a/Libraries/LibRouter/CompletionAttempt.h
+++ b/Libraries/LibRouter/CompletionAttempt.h
@@ -51,8 +51,8 @@
 private:
     boost::asio::awaitable<void> relay(Http::ClientExchange &answer, const std::string &attemptId,
                                        AnswerSink &sink, AnswerProgress &progress);
-    boost::asio::awaitable<void> take(const CompletionChunk &chunk, AnswerSink &sink,
-                                      AnswerProgress &progress);
+    boost::asio::awaitable<void> handleChunk(const CompletionChunk &chunk, AnswerSink &sink,
+                                             AnswerProgress &progress);
     Http::Request engineRequest(const std::string &attemptId, const AnswerProgress &progress) const;
     Http::ClientTimeouts timeouts() const;
 
--- a/Libraries/LibRouter/CompletionChunk.cpp
+++ b/Libraries/LibRouter/CompletionChunk.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-Core::Error garbage(const std::string &detail)
+Core::Error malformed(const std::string &detail)
 {
     return Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, detail);
 }
@@ -44,11 +44,11 @@
     boost::system::error_code ec;
     auto parsed = json::parse(json::string_view(data), ec);
     if (ec || !parsed.is_object())
-        return garbage("a chunk is not a JSON object");
+        return malformed("a chunk is not a JSON object");
     CompletionChunk chunk;
     chunk.m_body = std::move(parsed.get_object());
     if (!answersRequest(chunk.m_body, requestId))
-        return garbage("a chunk answers another request");
+        return malformed("a chunk answers another request");
     try {
         chunk.readChoice();
         chunk.readUsage();
@@ -63,13 +63,13 @@
     m_tokenIndex = numberAt(m_body, "token_index");
     const auto *choices = m_body.if_contains("choices");
     if (!choices || !choices->is_array())
-        throw garbage("a chunk has no choices");
+        throw malformed("a chunk has no choices");
     // A chunk with only the usage has an empty list.
     if (choices->get_array().empty())
         return;
     const auto *choice = choices->get_array().front().if_object();
     if (!choice)
-        throw garbage("a chunk's choice is not an object");
+        throw malformed("a chunk's choice is not an object");
     const auto *delta = objectAt(*choice, "delta");
     const auto *text = delta ? delta->if_contains("content") : choice->if_contains("text");
     if (text && text->is_string())
--- a/Libraries/LibRouter/CompletionRelay.cpp
+++ b/Libraries/LibRouter/CompletionRelay.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Whether another engine may do better with the same call.
-bool mayTryElsewhere(Core::ErrorKind kind)
+bool mayRetryOnOtherUpstream(Core::ErrorKind kind)
 {
     switch (kind) {
     case Core::ErrorKind::UpstreamUnreachable:
@@ -54,9 +54,9 @@
     m_isSuspect = suspicion == Admission::SuspectVerdict::Suspect;
     auto slot = co_await admit();
     m_grant = slot.grant();
-    const auto verdict = co_await tryEngines();
+    const auto outcome = co_await tryEngines();
     slot.setTokens(usedTokens());
-    if (verdict == Verdict::Complete) {
+    if (outcome == AttemptOutcome::Complete) {
         co_await m_sink->finish();
         record("complete");
         co_return;
@@ -81,22 +81,22 @@
     co_return slot;
 }
 
-asio::awaitable<CompletionRelay::Verdict> CompletionRelay::tryEngines()
+asio::awaitable<CompletionRelay::AttemptOutcome> CompletionRelay::tryEngines()
 {
     for (unsigned n = 0; n < m_instance.settings().attempts; ++n) {
         if (n > 0 && !mayRetry())
-            co_return Verdict::GiveUp;
+            co_return AttemptOutcome::GiveUp;
         const auto group = m_instance.directory().group(m_model.upstreamGroup);
         const auto decision = choose(group);
         if (!decision)
-            co_return Verdict::GiveUp;
+            co_return AttemptOutcome::GiveUp;
         const auto upstream = group.bySlot(decision->slot);
-        const auto verdict = co_await attempt(upstream, *decision);
-        if (verdict != Verdict::TryNext)
-            co_return verdict;
+        const auto outcome = co_await attempt(upstream, *decision);
+        if (outcome != AttemptOutcome::TryNext)
+            co_return outcome;
         m_tried.push_back(upstream->slot());
     }
-    co_return Verdict::GiveUp;
+    co_return AttemptOutcome::GiveUp;
 }
 
 Accounting::TokenCounts CompletionRelay::usedTokens() const
@@ -127,14 +127,14 @@
     return true;
 }
 
-bool CompletionRelay::isPassedOver(const Upstream &upstream, Strictness strictness) const
+bool CompletionRelay::isSkipped(const Upstream &upstream, UpstreamFilter filter) const
 {
     if (upstream.isLeaving())
         return true;
-    if (strictness == Strictness::AnyLive)
+    if (filter == UpstreamFilter::AnyLive)
         return false;
-    const bool isApart = !m_isSuspect || upstream.suspectRequests() == 0;
-    return upstream.isSuspected() || (strictness == Strictness::Apart && !isApart);
+    const bool isIsolated = !m_isSuspect || upstream.suspectRequests() == 0;
+    return upstream.isSuspected() || (filter == UpstreamFilter::Isolated && !isIsolated);
 }
 
 std::optional<Placement::Decision> CompletionRelay::choose(const UpstreamGroupView &group)
@@ -143,10 +143,11 @@
         return std::nullopt;
     // A crash makes every request that ran there suspect, most of them without reason. They are
     // kept apart where there are upstreams enough, but none is refused for want of one.
-    for (const auto strictness : {Strictness::Apart, Strictness::Healthy, Strictness::AnyLive}) {
+    for (const auto filter :
+         {UpstreamFilter::Isolated, UpstreamFilter::Healthy, UpstreamFilter::AnyLive}) {
         auto excluded = m_tried;
         for (const auto &upstream : group.upstreams) {
-            if (isPassedOver(*upstream, strictness))
+            if (isSkipped(*upstream, filter))
                 excluded.push_back(upstream->slot());
         }
         const Placement::PlacementRequest request {m_blocks, {}, excluded};
@@ -157,8 +158,8 @@
     return std::nullopt;
 }
 
-asio::awaitable<CompletionRelay::Verdict> CompletionRelay::attempt(UpstreamPtr upstream,
-                                                                   Placement::Decision decision)
+asio::awaitable<CompletionRelay::AttemptOutcome>
+CompletionRelay::attempt(UpstreamPtr upstream, Placement::Decision decision)
 {
     const InFlightGuard guard(*upstream, m_isSuspect);
     auto &placement = m_instance.placement();
@@ -166,12 +167,12 @@
     const auto attemptId = m_context.requestId + '.' + std::to_string(m_tried.size());
     const auto resumedFrom = m_progress.tokens;
     bool hasToken = false;
-    CompletionAttempt sending(m_instance, m_context, m_call, m_model,
-                              attemptOptions(decision, hasToken));
+    CompletionAttempt completion(m_instance, m_context, m_call, m_model,
+                                 attemptOptions(decision, hasToken));
     std::optional<Core::Error> failure;
     bool draining = false;
     try {
-        co_await sending.run(upstream, attemptId, *m_sink, m_progress);
+        co_await completion.run(upstream, attemptId, *m_sink, m_progress);
     } catch (const Core::Error &error) {
         failure = error;
     } catch (const UpstreamDraining &) {
@@ -191,14 +192,14 @@
     }
     if (!failure && !draining) {
         noteSuccess(*upstream, decision);
-        co_return Verdict::Complete;
+        co_return AttemptOutcome::Complete;
     }
     if (!hasToken)
         placement.noteFailed(decision);
     if (draining) {
         if (upstream->noteLeaving())
             Core::logEvent(Core::EventId::UpstreamLeaving, {{"upstream", upstream->id().value()}});
-        co_return Verdict::TryNext;
+        co_return AttemptOutcome::TryNext;
     }
     if (failure->kind() == Core::ErrorKind::UpstreamFailed)
         noteCrash(*upstream, decision.incarnation);
@@ -229,17 +230,18 @@
                    {{"request", m_context.requestId}, {"upstream", upstream.id().value()}});
 }
 
-CompletionRelay::Verdict CompletionRelay::noteFailure(Upstream &upstream, const Core::Error &error)
+CompletionRelay::AttemptOutcome CompletionRelay::noteFailure(Upstream &upstream,
+                                                             const Core::Error &error)
 {
     m_lastError = m_lastError ? Core::afterOtherAttempts(error, m_lastError->attempt()) : error;
     Core::logEvent(Core::EventId::RequestFailed, {{"request", m_context.requestId},
                                                   {"upstream", upstream.id().value()},
                                                   {"error", error.what()}});
-    if (!mayTryElsewhere(error.kind()))
-        return Verdict::GiveUp;
+    if (!mayRetryOnOtherUpstream(error.kind()))
+        return AttemptOutcome::GiveUp;
     if (error.kind() != Core::ErrorKind::Overloaded)
         upstream.circuit().noteFailure(m_instance.clock().now(), threadRandom());
-    return Verdict::TryNext;
+    return AttemptOutcome::TryNext;
 }
 
 void CompletionRelay::noteSuccess(Upstream &upstream, const Placement::Decision &decision)
--- a/Libraries/LibRouter/CompletionRelay.h
+++ b/Libraries/LibRouter/CompletionRelay.h
@@ -25,31 +25,32 @@
 
 private:
     /// What one attempt came to.
-    enum class Verdict {
+    enum class AttemptOutcome {
         Complete,
         TryNext,
         GiveUp,
     };
 
     /// Which upstreams a request may go to.
-    enum class Strictness {
+    enum class UpstreamFilter {
         /// Without failures of late, and a suspect request with no other suspect.
-        Apart,
+        Isolated,
         /// Without failures of late.
         Healthy,
         AnyLive,
     };
 
-    boost::asio::awaitable<Verdict> tryEngines();
+    boost::asio::awaitable<AttemptOutcome> tryEngines();
     boost::asio::awaitable<AdmissionSlot> admit();
     Accounting::TokenCounts usedTokens() const;
     bool mayRetry();
-    boost::asio::awaitable<Verdict> attempt(UpstreamPtr upstream, Placement::Decision decision);
+    boost::asio::awaitable<AttemptOutcome> attempt(UpstreamPtr upstream,
+                                                   Placement::Decision decision);
     std::optional<Placement::Decision> choose(const UpstreamGroupView &group);
-    bool isPassedOver(const Upstream &upstream, Strictness strictness) const;
+    bool isSkipped(const Upstream &upstream, UpstreamFilter filter) const;
     CompletionAttempt::Options attemptOptions(const Placement::Decision &decision, bool &hasToken);
     void noteCrash(const Upstream &upstream, std::uint64_t incarnation);
-    Verdict noteFailure(Upstream &upstream, const Core::Error &error);
+    AttemptOutcome noteFailure(Upstream &upstream, const Core::Error &error);
     void noteSuccess(Upstream &upstream, const Placement::Decision &decision);
     void record(std::string_view outcome);
     Core::Error finalError() const;
--- a/Libraries/LibRouter/DirectoryWatcher.cpp
+++ b/Libraries/LibRouter/DirectoryWatcher.cpp
@@ -34,13 +34,13 @@
         m_instance.refreshSlots();
         if (m_listRead)
             m_listRead(list);
-        if (!m_isAnswering)
+        if (!m_isPlatformAvailable)
             Core::logEvent(Core::EventId::PlatformBack);
-        m_isAnswering = true;
+        m_isPlatformAvailable = true;
     } catch (const Core::Error &error) {
-        if (m_isAnswering)
+        if (m_isPlatformAvailable)
             Core::logEvent(Core::EventId::PlatformUnavailable, {{"error", error.what()}});
-        m_isAnswering = false;
+        m_isPlatformAvailable = false;
     }
 }
 
--- a/Libraries/LibRouter/DirectoryWatcher.h
+++ b/Libraries/LibRouter/DirectoryWatcher.h
@@ -28,7 +28,7 @@
     Instance &m_instance;
     Platform::InstanceDirectory &m_platform;
     ListHook m_listRead;
-    bool m_isAnswering = true;
+    bool m_isPlatformAvailable = true;
 };
 
 } // namespace Router
--- a/Libraries/LibRouter/Instance.cpp
+++ b/Libraries/LibRouter/Instance.cpp
@@ -7,7 +7,7 @@
 namespace Router {
 
 namespace {
-constexpr std::size_t KeptDocuments = 64;
+constexpr std::size_t MaxKeptDocuments = 64;
 }
 
 Instance::Instance(const Core::Clock &clock, RouterSettings settings)
@@ -77,12 +77,13 @@
     // The validator has checked the shares, so the rules are taken.
     m_admission->configure(buildAdmissionPolicy(*next.document, m_directory)).value();
     m_documents[next.generation] = next.document;
-    if (m_documents.size() > KeptDocuments)
+    if (m_documents.size() > MaxKeptDocuments)
         m_documents.erase(m_documents.begin());
     m_configuration.replace(std::make_shared<ConfigurationInForce>(std::move(next)));
 }
 
-std::shared_ptr<const Configuration::Document> Instance::documentOf(std::uint64_t generation) const
+std::shared_ptr<const Configuration::Document>
+Instance::documentForGeneration(std::uint64_t generation) const
 {
     const std::scoped_lock lock(m_configurationWriter);
     const auto found = m_documents.find(generation);
--- a/Libraries/LibRouter/Instance.h
+++ b/Libraries/LibRouter/Instance.h
@@ -66,7 +66,8 @@
     /// the present one.
     // FIXME: After a restart, usage from before a change of shares is settled by the shares of now;
     // the configuration's history in the log would tell the older ones.
-    std::shared_ptr<const Configuration::Document> documentOf(std::uint64_t generation) const;
+    std::shared_ptr<const Configuration::Document>
+    documentForGeneration(std::uint64_t generation) const;
     /// Puts a document in force unless it is older than the present one.
     void setConfiguration(ConfigurationInForce next);
 
--- a/Libraries/LibRouter/ServiceRelay.cpp
+++ b/Libraries/LibRouter/ServiceRelay.cpp
@@ -14,16 +14,17 @@
 /// Headers that belong to one connection, or that carry the caller's secret.
 bool mayForward(std::string_view name)
 {
-    constexpr std::array<std::string_view, 9> Dropped {
+    constexpr std::array<std::string_view, 9> NotForwarded {
         "Connection", "Keep-Alive",     "Transfer-Encoding", "TE",     "Upgrade",
         "Host",       "Content-Length", "Authorization",     "Expect",
     };
-    return std::none_of(Dropped.begin(), Dropped.end(), [name](std::string_view dropped) {
-        return Http::equalIgnoringCase(name, dropped);
-    });
+    return std::none_of(NotForwarded.begin(), NotForwarded.end(),
+                        [name](std::string_view notForwarded) {
+                            return Http::equalIgnoringCase(name, notForwarded);
+                        });
 }
 
-Http::Headers forwarded(const Http::Headers &headers)
+Http::Headers forwardableHeaders(const Http::Headers &headers)
 {
     Http::Headers kept;
     for (const auto &field : headers) {
@@ -65,8 +66,8 @@
     ServiceCall call;
     call.group = m_service.upstreamGroup;
     call.timeout = m_service.timeout;
-    call.request =
-        Http::Request(incoming.method, target.rest, forwarded(incoming.headers), incoming.body);
+    call.request = Http::Request(incoming.method, target.rest, forwardableHeaders(incoming.headers),
+                                 incoming.body);
     call.request.headers.remove("X-Team");
     call.request.headers.remove("X-Request-Id");
     call.request.headers.add("X-Team", m_context.team->id.value());
@@ -101,7 +102,7 @@
             auto response = co_await sendServiceCall(m_instance, m_call, upstream,
                                                      Http::ConnectionUse::PooledOrNew);
             budget.noteSuccess();
-            response.headers = forwarded(response.headers);
+            response.headers = forwardableHeaders(response.headers);
             co_await m_exchange.respond(std::move(response));
             co_return;
         } catch (const Core::Error &error) {
@@ -118,7 +119,7 @@
     const auto key = Claims::parseClaimKey(m_context.team->id, headers.find("Idempotency-Key"),
                                            headers.find("Idempotency-Issued-At"))
                          .value();
-    checkDoor(key);
+    rejectEarly(key);
     const auto slot = co_await admitKeyed(key);
     Claims::Call call;
     call.key = key;
@@ -130,7 +131,7 @@
     co_await answer(std::move(outcome));
 }
 
-void ServiceRelay::checkDoor(const Claims::ClaimKey &key) const
+void ServiceRelay::rejectEarly(const Claims::ClaimKey &key) const
 {
     const auto &claims = *m_instance.claims();
     if (m_instance.isDraining())
--- a/Libraries/LibRouter/ServiceRelay.h
+++ b/Libraries/LibRouter/ServiceRelay.h
@@ -44,7 +44,7 @@
     Admission::Ticket ticket() const;
     std::uint64_t digest() const;
     /// Throws the refusal with the truth about the key when the call may not go on.
-    void checkDoor(const Claims::ClaimKey &key) const;
+    void rejectEarly(const Claims::ClaimKey &key) const;
     boost::asio::awaitable<AdmissionSlot> admitKeyed(Claims::ClaimKey key);
     boost::asio::awaitable<void> answer(Claims::Outcome outcome);
 
--- a/Libraries/LibRouter/UsageAccount.cpp
+++ b/Libraries/LibRouter/UsageAccount.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr std::chrono::seconds LendingStretch {60};
-constexpr std::size_t PageRecords = 256;
+constexpr std::chrono::seconds LendingInterval {60};
+constexpr std::size_t RecordsPerPage = 256;
 
 json::object describe(const Accounting::GroupUsage &usage)
 {
@@ -86,12 +86,12 @@
     : m_instance(instance)
     , m_log(log)
     , m_ledger([this](const auto &group, auto generation) { return shares(group, generation); },
-               LendingStretch)
+               LendingInterval)
 { }
 
 asio::awaitable<json::object> UsageAccount::report()
 {
-    co_await readOn();
+    co_await readToEnd();
     const auto report = m_ledger.report(Core::Clock::Wall::min(), Core::Clock::Wall::max());
     json::object answer;
     answer["groups"] = describeAll(report.groups);
@@ -100,7 +100,7 @@
     co_return answer;
 }
 
-asio::awaitable<void> UsageAccount::readOn()
+asio::awaitable<void> UsageAccount::readToEnd()
 {
     // A second request while the first one reads answers from what is there.
     if (std::exchange(m_isReading, true))
@@ -110,7 +110,7 @@
         const auto stream = UsageReporter::streamName(m_instance.settings().environment);
         while (true) {
             const auto page =
-                co_await m_log.read(stream, m_next, PageRecords, std::chrono::milliseconds(0));
+                co_await m_log.read(stream, m_next, RecordsPerPage, std::chrono::milliseconds(0));
             for (const auto &record : page.records) {
                 if (!m_ledger.apply(record.data))
                     Core::logEvent(Core::EventId::LogRecordInvalid, {{"stream", stream}});
@@ -131,7 +131,7 @@
                                                          std::uint64_t generation) const
 {
     std::vector<Accounting::OwnedShare> shares;
-    const auto document = m_instance.documentOf(generation);
+    const auto document = m_instance.documentForGeneration(generation);
     if (!document)
         return shares;
     for (const auto &contract : document->contracts()) {
--- a/Libraries/LibRouter/UsageAccount.h
+++ b/Libraries/LibRouter/UsageAccount.h
@@ -24,7 +24,7 @@
     boost::asio::awaitable<boost::json::object> report();
 
 private:
-    boost::asio::awaitable<void> readOn();
+    boost::asio::awaitable<void> readToEnd();
     std::vector<Accounting::OwnedShare> shares(const Core::UpstreamGroupId &group,
                                                std::uint64_t generation) const;
 
--- a/Libraries/LibRouter/UsageReporter.cpp
+++ b/Libraries/LibRouter/UsageReporter.cpp
@@ -10,7 +10,7 @@
 namespace asio = boost::asio;
 
 namespace {
-constexpr std::chrono::milliseconds AppendPoll {5};
+constexpr std::chrono::milliseconds AppendPollPeriod {5};
 }
 
 UsageReporter::UsageReporter(Instance &instance, Platform::LogService &log,
@@ -47,7 +47,7 @@
     asio::steady_timer timer(co_await asio::this_coro::executor);
     // The outbox has one batch under way at a time.
     while (m_isAppending) {
-        timer.expires_after(AppendPoll);
+        timer.expires_after(AppendPollPeriod);
         co_await timer.async_wait(asio::use_awaitable);
     }
     m_outbox.add(m_instance.usage().closeInterval(m_instance.configuration().generation));
