--- a/Libraries/LibMembership/ByteBudget.h
+++ b/Libraries/LibMembership/ByteBudget.h
@@ -7,7 +7,7 @@
 
 namespace Membership {
 
-/// A token bucket of bytes: at most so many a second, and one second's worth at once.
+/// A token bucket of bytes: it refills at a fixed rate and holds at most one second's worth.
 class ByteBudget
 {
 public:
@@ -17,7 +17,7 @@
         , m_filled(now)
     { }
 
-    /// The bytes that may be spent now.
+    /// Returns the number of bytes that may be spent now.
     std::size_t available(Core::Clock::Monotonic now)
     {
         const std::chrono::duration<double> passed = now - m_filled;
--- a/Libraries/LibMembership/Member.h
+++ b/Libraries/LibMembership/Member.h
@@ -10,12 +10,12 @@
 
 namespace Membership {
 
-/// One process. An instance id that is used again, or by two processes at a time, comes with
-/// another incarnation and is another member.
+/// Identifies one process. A restarted process, or a second process with the same instance id, has
+/// another incarnation and is a separate member.
 struct MemberId
 {
     Core::InstanceId instance;
-    /// Chosen at start, greater for a later process of the same instance id.
+    /// Chosen at start; greater for each later process with the same instance id.
     std::uint64_t incarnation = 0;
 
     friend bool operator==(const MemberId &, const MemberId &) = default;
@@ -26,21 +26,23 @@
     }
 };
 
-/// What is believed of a member, from best to worst.
+/// The state of a member as this process knows it, ordered from best to worst.
 enum class MemberState : std::uint8_t {
     Alive,
-    /// Misses its probes; dropped unless it objects in time.
+    /// Does not answer probes; dropped unless it refutes the suspicion in time.
     Suspect,
-    /// Takes no new work and is about to end.
+    /// Accepts no new work and is about to shut down.
     Leaving,
-    /// Dropped. Kept for a while, so that it is found again after a partition.
+    /// Dropped from the fleet. The entry is kept for a while, so that the member is found again
+    /// after a network partition.
     Dead,
 };
 
 struct Member
 {
     MemberId id;
-    /// Raised by the member itself to contradict what is said of it.
+    /// A counter that only the member itself raises, to refute a suspicion about itself. The higher
+    /// value overrides the lower one.
     std::uint32_t refutation = 0;
     MemberState state = MemberState::Alive;
     Core::DataCentreId dataCentre;
@@ -50,45 +52,48 @@
     bool isLive() const { return state == MemberState::Alive || state == MemberState::Suspect; }
 };
 
-/// What has become of a member, for those who act on it.
+/// A change in a member's state, as reported to the listener.
 enum class MemberChange {
     Joined,
     Suspected,
-    /// A suspected or dropped member has shown that it lives.
+    /// A suspected or dropped member has proved that it is alive.
     Recovered,
     Leaving,
-    /// Announced that it leaves, and is gone.
+    /// Announced that it is leaving, and was then dropped.
     Left,
-    /// Missed its probes and did not object.
+    /// Did not answer probes and did not refute the suspicion in time.
     Died,
-    /// Another process answers at its address.
+    /// Another process answers at the member's address.
     Replaced,
 };
 
 std::string_view memberChangeName(MemberChange change);
 
-/// Numbers and times of the probing. Periods are of the prober's own monotonic clock.
+/// Parameters of the failure detector. Times are measured with the prober's own monotonic clock.
 struct MembershipSettings
 {
-    /// One member is probed each period.
+    /// The probe interval: one member is probed each period.
     std::chrono::milliseconds period {1'000};
-    /// Without an ack for this long, others are asked to probe.
+    /// After this long without an ack, other members are asked to probe the target indirectly.
     std::chrono::milliseconds probeTimeout {300};
     std::size_t indirectProbes = 3;
-    /// A suspect is dropped after this many periods times the decimal logarithm of the fleet.
+    /// A suspect is dropped after this many periods, times the decimal logarithm of the fleet size.
     unsigned suspicionFactor = 4;
-    /// A piece of news is sent this many times the decimal logarithm of the fleet.
+    /// An update is sent this many times, times the decimal logarithm of the fleet size.
     unsigned retransmitFactor = 4;
     std::size_t updatesPerMessage = 8;
-    /// Suspects that are asked once more each period, in the last two periods before they drop.
+    /// Number of suspects that are probed again each period, in the last two periods before they
+    /// are dropped.
     std::size_t finalProbesPerPeriod = 4;
-    /// Addresses of the platform's list that are tried each period.
+    /// Number of unknown addresses from the platform's instance list that are probed each period.
     std::size_t candidatesPerPeriod = 3;
-    /// A prober that hears from nobody blames itself for this many periods.
+    /// A process that receives no messages at all assumes for this many periods that it is itself
+    /// cut off, and suspects nobody.
     unsigned maxIsolatedPeriods = 3;
     std::chrono::milliseconds droppedMemberRetention {std::chrono::hours(6)};
     std::size_t maxMembers = 4'096;
-    /// What updates may use each second; probes and acks without updates are sent all the same.
+    /// Byte budget of updates per second. When it is used up, probes and acks are sent without
+    /// updates.
     std::size_t updateBytesPerSecond = 2'048;
 };
 
--- a/Libraries/LibMembership/MemberTable.cpp
+++ b/Libraries/LibMembership/MemberTable.cpp
@@ -70,7 +70,7 @@
 
 void MemberTable::insert(const Member &update, Monotonic now)
 {
-    // The dead are no news to those who never knew them.
+    // A dropped member that was never known here needs no entry.
     if (update.state == MemberState::Dead || m_entries.size() >= m_settings.maxMembers)
         return;
     for (const auto &[id, entry] : m_entries) {
@@ -96,8 +96,8 @@
             id.instance == newMember.id.instance && id.incarnation < newMember.id.incarnation;
         if (!former || entry.member.state == MemberState::Dead)
             continue;
-        // At the same address the former process must be gone. Elsewhere it may still run under
-        // the same instance id: it is asked to object.
+        // At the same address, the former process must have ended. At another address it may still
+        // run under the same instance id, so it is only suspected and can refute that.
         if (entry.member.address == newMember.address)
             change(entry, MemberState::Dead, MemberChange::Replaced, now);
         else
@@ -254,8 +254,8 @@
     std::vector<Member> updates;
     for (std::size_t n = 0; n < count; ++n) {
         auto &entry = *order[n];
-        // What is said of the receiver itself goes out whatever the budget says: it must be able
-        // to object.
+        // An update about the receiver itself is sent regardless of the budget, because the
+        // receiver must be able to refute it.
         const bool needsRefutation = rank(&entry) > transmissionLimit();
         const auto bytes = encodedBytes(entry.member);
         if (!needsRefutation && bytes > maxBytes)
--- a/Libraries/LibMembership/MemberTable.h
+++ b/Libraries/LibMembership/MemberTable.h
@@ -13,8 +13,8 @@
 
 namespace Membership {
 
-/// What one process believes of the others, how beliefs are merged, and which of them are news
-/// that is still to be passed on. Holds every member but the process itself.
+/// The membership list of one process: the known state of all other members, the rules for merging
+/// updates, and the updates that are still to be disseminated. Does not contain the process itself.
 class MemberTable
 {
 public:
@@ -22,45 +22,46 @@
 
     MemberTable(const MembershipSettings &settings, Listener listener);
 
-    /// Takes in what somebody says of a member. The order of arrival does not matter: the higher
-    /// refutation wins, and the worse state within one refutation.
+    /// Merges an update about a member. The order of arrival does not matter: the higher refutation
+    /// wins, and within one refutation the worse state.
     void merge(const Member &update, Core::Clock::Monotonic now);
 
-    /// The member missed its probes, or is contradicted by another of its instance id.
+    /// Suspects a member that did not answer its probes, or whose instance id another process uses.
     void suspect(const MemberId &id, Core::Clock::Monotonic now);
 
-    /// Another process answered at the member's address.
+    /// Drops a member at whose address another process answers.
     void replace(const MemberId &id, Core::Clock::Monotonic now);
 
-    /// Drops a member that leaves and no longer answers.
+    /// Drops a leaving member that no longer answers.
     void drop(const MemberId &id, Core::Clock::Monotonic now);
 
-    /// Drops suspects whose time is up and forgets those that have been dead for long.
+    /// Drops suspects whose timeout has expired, and forgets members that were dropped long ago.
     void expire(Core::Clock::Monotonic now);
 
-    /// Gives suspects more time, by as long as this process itself stood still.
+    /// Extends all suspicion timeouts by the time for which this process itself was stalled.
     void extendSuspicions(std::chrono::nanoseconds stall);
 
-    /// Suspects that will be dropped before the given time, soonest first, at most so many.
+    /// Returns up to limit suspects that will be dropped before the given time, soonest first.
     std::vector<Member> suspectsDueBefore(Core::Clock::Monotonic time, std::size_t limit) const;
 
     const Member *find(const MemberId &id) const;
     std::vector<Member> members() const;
-    /// Alive, suspected and leaving members.
+    /// Returns the alive, suspected and leaving members.
     std::vector<Member> present() const;
     std::size_t liveCount() const { return m_live; }
     std::size_t droppedCount() const;
     bool knowsAddress(const std::string &address) const;
 
-    /// A random dead member, to see whether a partition has healed.
+    /// Returns a random dropped member. Probing it shows whether a partition has healed.
     std::optional<Member> randomDroppedMember(std::mt19937_64 &rng) const;
 
-    /// What to tell a member: first what is said of itself, if bad, then the newest news, then
-    /// random other beliefs, within the bytes. Counts the news as sent once more.
+    /// Returns the updates to send to a member, within the byte limit: first an unfavourable state
+    /// of the receiver itself, then the newest updates, then random other members. Counts each
+    /// returned update as sent once more.
     std::vector<Member> takeUpdates(const MemberId &receiver, std::size_t maxBytes,
                                     std::mt19937_64 &rng);
 
-    /// How often a piece of news is sent, for a fleet of the present size.
+    /// Returns how often an update is sent, for the current fleet size.
     unsigned transmissionLimit() const;
     std::chrono::milliseconds suspicionTimeout() const;
 
--- a/Libraries/LibMembership/MembershipMessage.cpp
+++ b/Libraries/LibMembership/MembershipMessage.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-// An entry of the vector, the table's own offset, its numbers and three string offsets.
+// A vector entry, the table's own offset, its numeric fields and three string offsets.
 constexpr std::size_t FixedUpdateBytes = 48;
 
-/// A string's length field, its bytes and terminator, padded to four.
+/// Returns the encoded size of a string: length field, bytes and terminator, padded to a multiple
+/// of four.
 std::size_t encodedBytes(const std::string &text)
 {
     return sizeof(std::uint32_t) + (text.size() + sizeof(std::uint32_t)) / 4 * 4;
--- a/Libraries/LibMembership/MembershipMessage.h
+++ b/Libraries/LibMembership/MembershipMessage.h
@@ -11,7 +11,7 @@
 
 namespace Membership {
 
-/// Asks whether a process answers at the address it is sent to.
+/// Asks whether a process answers at the address to which the probe is sent.
 struct Probe
 {
     std::uint64_t sequence = 0;
@@ -19,7 +19,7 @@
     std::vector<Member> updates;
 };
 
-/// Answers a probe, in the answering process's own name.
+/// Answers a probe. The sender is the process that answers.
 struct Ack
 {
     std::uint64_t sequence = 0;
@@ -27,7 +27,7 @@
     std::vector<Member> updates;
 };
 
-/// Asks the receiver to probe the target and to pass its ack on.
+/// Asks the receiver to probe the target and to forward its ack.
 struct IndirectProbe
 {
     std::uint64_t sequence = 0;
@@ -37,20 +37,20 @@
 
 using Message = std::variant<Probe, Ack, IndirectProbe>;
 
-/// The message as a body of the peer link. Sent one-way.
+/// Encodes the message as the body of a one-way peer message.
 Peer::Body toBody(const Message &message);
 
-/// The message that a body holds; empty when it is of another kind or lacks what is required.
+/// Decodes a message. Returns nothing when the body is of another kind or lacks a required field.
 std::optional<Message> fromBody(const Peer::Body &body);
 
 std::unique_ptr<Peer::Wire::MemberUpdateT> toWire(const Member &member);
 std::optional<Member> fromWire(const Peer::Wire::MemberUpdateT &update);
 
-/// The members of a list that hold what is required.
+/// Decodes the updates, skipping those that lack a required field.
 std::vector<Member>
 fromWire(const std::vector<std::unique_ptr<Peer::Wire::MemberUpdateT>> &updates);
 
-/// The bytes that a member takes in a message.
+/// Returns the estimated size of a member in a message, in bytes.
 std::size_t encodedBytes(const Member &member);
 
 } // namespace Membership
--- a/Libraries/LibMembership/ProbeService.cpp
+++ b/Libraries/LibMembership/ProbeService.cpp
@@ -67,7 +67,7 @@
               })
     , m_budget(settings.updateBytesPerSecond, clock.now())
     , m_lastTick(clock.now())
-    // Instances that restart together must not probe in step.
+    // The random offset keeps instances that restart together from probing in lockstep.
     , m_nextPeriod(clock.now() + settings.period * (rng() % 100) / 100)
 { }
 
@@ -87,8 +87,8 @@
     const auto stall = now - m_lastTick;
     if (stall < m_settings.period * StallPeriods)
         return;
-    // This process stood still: that nobody answered meanwhile says nothing of the others, and
-    // they may have dropped it, which it contradicts without being asked.
+    // This process was stalled. Missing answers from that time say nothing about the other members,
+    // and they may have dropped this process, so it refutes that without being asked.
     m_pending.clear();
     m_relays.clear();
     m_table.extendSuspicions(stall);
@@ -108,7 +108,8 @@
 
 void ProbeService::probeExpiringSuspects(Monotonic now)
 {
-    // An objection may have passed this process by, so it asks the suspect itself before the drop.
+    // A refutation may not have reached this process, so it probes the suspect itself before
+    // dropping it.
     const auto horizon = now + m_settings.period * FinalProbePeriods;
     for (const auto &suspect : m_table.suspectsDueBefore(horizon, m_settings.finalProbesPerPeriod))
         m_hooks.send(suspect.address, Probe {++m_lastSequence, m_self, updatesFor(suspect.id)});
@@ -116,8 +117,8 @@
 
 std::optional<Member> ProbeService::nextTarget()
 {
-    // Each live member is probed once a round, in an order that is new each round, so that the
-    // time until a dead one is noticed is bounded.
+    // Each member is probed once per round, in an order that is shuffled each round, which bounds
+    // the time until a failed member is detected.
     if (m_probeOrder.empty()) {
         for (const auto &member : m_table.present())
             m_probeOrder.push_back(member.id);
@@ -201,7 +202,7 @@
         m_table.drop(member->id, now);
         return;
     }
-    // A process that hears from nobody is more likely cut off itself.
+    // A process that receives no messages at all is more likely to be cut off itself.
     const bool isIsolated = m_receivedMessages == probe.receivedBefore;
     m_isolatedPeriods = isIsolated ? m_isolatedPeriods + 1 : 0;
     if (isIsolated && m_isolatedPeriods < m_settings.maxIsolatedPeriods)
@@ -290,7 +291,7 @@
     const bool wrong = update.state > m_self.state && update.refutation >= m_self.refutation;
     if (!wrong)
         return;
-    // Every message carries the sender, so the objection spreads with the next ones.
+    // Every message carries its sender's state, so the next messages spread the refutation.
     m_self.refutation = update.refutation + 1;
 }
 
--- a/Libraries/LibMembership/ProbeService.h
+++ b/Libraries/LibMembership/ProbeService.h
@@ -15,29 +15,30 @@
 
 namespace Membership {
 
-/// How the probing reaches the outside.
+/// Callbacks through which the probe service sends messages and reports changes.
 struct MembershipHooks
 {
-    /// Sends a message, without waiting, to the process that listens at IP:port. May lose it.
+    /// Sends a message without blocking to the process that listens at IP:port. Delivery is not
+    /// guaranteed.
     std::function<void(const std::string &address, const Message &message)> send;
-    /// Told of each change. May be empty.
+    /// Called for each membership change. May be empty.
     std::function<void(const Member &member, MemberChange change)> changed;
 };
 
-/// Finds the other instances and keeps up which of them live, by probing a few of them each
-/// period; the cost of a node does not grow with the fleet. Does no input or output, reads no
-/// clock but the one passed in, and is not thread-safe: run it on one strand.
+/// Discovers the other instances and detects which of them are alive, by probing a few of them each
+/// period; the cost per node does not grow with the fleet. Performs no I/O, reads only the clock
+/// that is passed in, and is not thread-safe: run it on one strand.
 ///
-/// Siblings are found in the platform's list and by what peers say. A member that answers neither
-/// directly nor by way of others is suspected; the suspicion is passed on, to itself too, and it
-/// objects by raising its refutation. Only a suspicion that stands for the whole timeout drops it.
-/// Dropped members are still tried now and then, so that a healed partition is noticed without the
-/// platform.
+/// Siblings are discovered through the platform's instance list and through updates from other
+/// members. A member that answers neither direct nor indirect probes is suspected. The suspicion is
+/// disseminated, also to the suspect itself, which refutes it by raising its refutation counter. A
+/// member is dropped only when the suspicion lasts for the whole timeout. Dropped members are still
+/// probed now and then, so that a healed partition is detected without the platform.
 class ProbeService
 {
 public:
-    /// Gives Error(SettingsInvalid) when settings or identity cannot be worked with. Clock and
-    /// random generator must outlive the service.
+    /// Returns Error(SettingsInvalid) when the settings or the identity are unusable. The clock and
+    /// the random generator must outlive the service.
     static Core::Result<std::unique_ptr<ProbeService>> create(const MembershipSettings &settings,
                                                               Member self, const Core::Clock &clock,
                                                               std::mt19937_64 &rng,
@@ -46,33 +47,33 @@
     ProbeService(const ProbeService &) = delete;
     ProbeService &operator=(const ProbeService &) = delete;
 
-    /// Does what is due. Call at least four times a period.
+    /// Performs all due actions. Must be called at least four times per period.
     void tick();
 
-    /// Takes a message that came over the peer link.
+    /// Processes a message received over the peer link.
     void receive(const Message &message);
 
-    /// The addresses that the platform lists now, those of other instances only. The list lags,
-    /// so it adds candidates and drops nobody.
+    /// Sets the addresses of the other instances in the platform's current list. The list lags
+    /// behind, so it only adds candidates and never drops a member.
     void noteListed(std::vector<std::string> addresses);
 
-    /// Takes in the members of a sibling's snapshot.
+    /// Merges the members of a sibling's snapshot.
     void adopt(const std::vector<Member> &members);
 
-    /// Tells others that this process takes no new work and is about to end.
+    /// Announces that this process accepts no new work and is about to shut down.
     void leave();
 
     const Member &self() const { return m_self; }
-    /// Alive and suspected members, this process not included.
+    /// Returns the alive and suspected members, without this process.
     std::vector<Member> live() const;
     const MemberTable &table() const { return m_table; }
-    /// Processes seen that use this process's instance id with a later incarnation.
+    /// Returns how often a process with this instance id and a later incarnation has been seen.
     std::uint64_t laterIncarnationsSeen() const { return m_laterIncarnationsSeen; }
 
 private:
     struct PendingProbe
     {
-        /// Empty when an address of the list or a dead member is tried.
+        /// Empty when the probe goes to a listed address or to a dropped member.
         std::optional<Member> target;
         std::string address;
         Core::Clock::Monotonic indirectProbeAt;
--- a/Libraries/LibMembership/SharedItem.cpp
+++ b/Libraries/LibMembership/SharedItem.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Indices of the variant, which are also the kinds on the wire.
+// Indices of the variant's alternatives, which are also the kind values on the wire.
 enum Kind : std::uint8_t {
     ConfigurationKind,
     PoisonKind,
@@ -52,7 +52,7 @@
     }
 };
 
-/// The two numbers of an item that are not part of its key.
+/// The two fields of an item that are not part of its key.
 struct ItemPayload
 {
     std::uint32_t first = 0;
@@ -78,7 +78,8 @@
     ItemPayload operator()(const UpstreamLoad &item) const { return {item.outstanding, 0}; }
 };
 
-// A generation or a suspicion is worth more than any rate of requests or load.
+// A configuration generation, a crash or an upstream's condition takes priority over any request
+// rate or load.
 constexpr double ConfigurationValue = 1e6;
 constexpr double PoisonValue = 1e5;
 constexpr double UpstreamValue = 1e5;
@@ -96,17 +97,18 @@
     }
 };
 
-// A prefix is told again when it is seen this many times as hot as is known.
+// A prefix is published again when its observed request rate is at least this many times the known
+// one.
 constexpr std::uint32_t RequestRateFactor = 2;
 
-/// Whether a count moved by more than a quarter, and by more than one.
+/// Returns whether a count changed by more than a quarter and by more than one.
 bool changedSignificantly(std::uint32_t before, std::uint32_t after)
 {
     const auto distance = std::max(before, after) - std::min(before, after);
     return distance > std::max<std::uint32_t>(1, before / 4);
 }
 
-/// Compares two items of one key.
+/// Returns whether the observed item is a significant update of a known item with the same key.
 struct UpdateComparator
 {
     const SharedItem &observed;
--- a/Libraries/LibMembership/SharedItem.h
+++ b/Libraries/LibMembership/SharedItem.h
@@ -10,19 +10,19 @@
 
 namespace Membership {
 
-// Names of upstreams, groups, teams and instances are shared as Core::hash64 of their ids: the
-// receiver knows the ids from its configuration and list. Prefix and request digests are hashes
-// already.
+// Ids of upstreams, groups, teams and instances are shared as their Core::hash64, because the
+// receiver knows the ids from its configuration and instance list. Prefix and request digests are
+// already hashes.
 
-/// The newest configuration generation that the sender has in force.
+/// The newest configuration generation in force at the sender.
 struct ConfigurationGeneration
 {
     std::uint32_t generation = 0;
     std::uint64_t digest = 0;
 };
 
-/// One crash of an upstream under a request. Crashes of a request are a set, so that one crash
-/// that two instances saw, or that is told twice, counts once.
+/// One crash of an upstream while it processed a request. The crashes of a request form a set, so a
+/// crash that two instances saw, or that is reported twice, counts once.
 struct PoisonCrash
 {
     std::uint64_t requestDigest = 0;
@@ -35,7 +35,7 @@
     Failing = 2,
 };
 
-/// An upstream process that takes no work or fails it.
+/// An upstream process that accepts no work or fails requests.
 struct UpstreamHealth
 {
     std::uint64_t upstream = 0;
@@ -43,29 +43,31 @@
     UpstreamCondition condition = UpstreamCondition::Failing;
 };
 
-/// What one instance uses of a group for a team, and what waits for it.
+/// The slots of an upstream group that one instance uses for a team, and the number of waiting
+/// requests.
 struct TeamDemand
 {
     std::uint64_t team = 0;
     std::uint64_t group = 0;
-    /// The low half of the hash of the instance's id.
+    /// The low 32 bits of the hash of the instance's id.
     std::uint32_t origin = 0;
     std::uint32_t inUse = 0;
     std::uint32_t waiting = 0;
 };
 
-/// A hot prefix and an upstream that holds it. The digest is seeded by team, model and weights.
+/// A frequently used prefix and an upstream that has it cached. The digest is seeded with the team,
+/// the model and the weights.
 struct PrefixLocation
 {
     std::uint64_t prefix = 0;
     std::uint64_t upstream = 0;
-    /// The low half of the upstream's incarnation.
+    /// The low 32 bits of the upstream's incarnation.
     std::uint32_t incarnation = 0;
-    /// Requests a minute, as the sender sees them.
+    /// Requests per minute, as observed by the sender.
     std::uint32_t requestsPerMinute = 0;
 };
 
-/// Requests that one instance has running at an upstream.
+/// The number of requests that one instance has in flight at an upstream.
 struct UpstreamLoad
 {
     std::uint64_t upstream = 0;
@@ -76,18 +78,20 @@
 using SharedItem = std::variant<ConfigurationGeneration, PoisonCrash, UpstreamHealth, TeamDemand,
                                 PrefixLocation, UpstreamLoad>;
 
-/// How long an item is believed without being renewed. An item's age travels with it.
+/// Returns how long an item stays valid without being renewed. Records carry the age of their item.
 std::chrono::milliseconds lifetime(const SharedItem &item);
 
-/// What knowing the item is worth, on one scale for all kinds. A hook may replace it.
+/// Returns the value of sending an item, on one scale for all kinds. SharedState accepts another
+/// function in its place.
 double defaultValue(const SharedItem &item);
 
-/// Whether an observation says enough more than what is known under the same key to be told to
-/// siblings before a renewal is due. Instances that see one thing differently must not outbid each
-/// other for ever, so that of shared items only the stronger word is news.
+/// Returns whether an observation differs enough from the known item with the same key to be sent
+/// to siblings before a renewal is due. Instances that observe the same thing differently must not
+/// supersede each other forever, so for items that several instances share, only the stronger value
+/// counts as an update.
 bool isSignificantUpdate(const SharedItem &known, const SharedItem &observed);
 
-/// What tells items apart: two with one key are versions of the same thing.
+/// Identifies an item. Two items with the same key are versions of the same item.
 struct SharedKey
 {
     std::size_t kind = 0;
@@ -105,13 +109,14 @@
 
 SharedKey keyOf(const SharedItem &item);
 
-/// The bytes that a record takes in a message.
+/// The size of a record in a message, in bytes.
 constexpr std::size_t SharedRecordBytes = sizeof(Peer::Wire::SharedRecord);
 
 Peer::Wire::SharedRecord toWire(const SharedItem &item, std::uint32_t version,
                                 std::chrono::milliseconds age);
 
-/// The item that a record holds; empty when a newer program sent a kind unknown here.
+/// Decodes a record. Returns nothing for an unknown kind or condition, which a newer program may
+/// send.
 std::optional<SharedItem> itemFromWire(const Peer::Wire::SharedRecord &record);
 
 } // namespace Membership
--- a/Libraries/LibMembership/SharedState.cpp
+++ b/Libraries/LibMembership/SharedState.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-// One in so many items goes when there is no room.
+// One in this many items is evicted when the state is full.
 constexpr std::size_t EvictionDivisor = 16;
 
 using Content = std::tuple<std::uint64_t, std::uint32_t, std::uint32_t>;
 
-/// What a record says, its key, version and age left out.
+/// Returns the content of a record without its version and age and the rest of its key.
 Content contentOf(const SharedRecord &record)
 {
     return {record.object(), record.first(), record.second()};
@@ -27,7 +27,8 @@
     return contentOf(toWire(item, 0, milliseconds(0)));
 }
 
-/// The configuration's version is its generation, which the log decides; other items count on.
+/// Returns the next version of an item. The version of a configuration is its generation, which the
+/// log assigns; the version of other items is incremented.
 std::uint32_t nextVersion(const SharedItem &item, std::uint32_t known)
 {
     const auto *generation = std::get_if<ConfigurationGeneration>(&item);
@@ -81,7 +82,8 @@
 {
     if (record.version() != entry.version)
         return record.version() > entry.version;
-    // Two instances may have made this version at a time; all must keep the same one.
+    // Two instances may have created this version concurrently; all instances must keep the same
+    // one.
     return contentOf(record) > contentOf(entry.item);
 }
 
@@ -91,7 +93,7 @@
     if (!m_entries.contains(key))
         evictLeastValuable();
     auto &entry = m_entries[key];
-    // Another content of a version that was passed on already is no news.
+    // Different content under a version that was already sent does not restart its transmissions.
     const auto transmissions = entry.version == version ? entry.transmissions : 0;
     entry = {item, version, transmissions, m_value(item), m_clock.now() - age};
 }
@@ -103,7 +105,8 @@
     expire();
     if (m_entries.size() < m_settings.maxItems)
         return;
-    // Many go at once, because finding the least valuable means looking at all.
+    // Many items are evicted at once, because finding the least valuable ones requires a scan of
+    // all items.
     std::vector<double> values;
     values.reserve(m_entries.size());
     for (const auto &[key, entry] : m_entries)
--- a/Libraries/LibMembership/SharedState.h
+++ b/Libraries/LibMembership/SharedState.h
@@ -12,44 +12,44 @@
 
 struct SharedStateSettings
 {
-    /// Items kept; beyond it the least valuable go.
+    /// Maximum number of items. Beyond it, the least valuable items are evicted.
     std::size_t maxItems = 20'000;
-    /// How often an item is passed on by one instance, unless it is renewed.
+    /// How often one instance sends an item, unless the item is renewed.
     unsigned maxTransmissions = 8;
 };
 
-/// What an instance knows of the fleet's soft state, its own observations and its siblings'. All
-/// of it may be lost or late without anything being wrong.
+/// The fleet's soft state as one instance knows it: its own observations and those of its siblings.
+/// Items may be lost or late without affecting correctness.
 ///
-/// Merging is idempotent and does not depend on order: of one key, the higher version wins,
-/// and within one version the greater content. Not
-/// thread-safe; run it on one strand.
+/// Merging is idempotent and independent of order: for one key, the higher version wins, and within
+/// one version the greater content. Not thread-safe; run it on one strand.
 class SharedState
 {
 public:
     using Receiver = std::function<void(const SharedItem &item, std::chrono::milliseconds age)>;
     using ValueFunction = std::function<double(const SharedItem &item)>;
 
-    /// The receiver is told of each item that siblings sent and that was new.
+    /// The receiver is called for each item from a sibling that is new or supersedes the known one.
     SharedState(const Core::Clock &clock, const SharedStateSettings &settings, Receiver receiver,
                 ValueFunction value = defaultValue);
 
-    /// Takes in an observation of this instance's own. What is no news (see isSignificantUpdate())
-    /// changes nothing until half of the item's lifetime has passed; then it is renewed at the
-    /// siblings.
+    /// Publishes an observation of this instance. An insignificant update (see
+    /// isSignificantUpdate()) changes nothing until half of the item's lifetime has passed; then
+    /// the item is renewed at the siblings.
     void publish(const SharedItem &item);
 
-    /// Merges what a sibling sent.
+    /// Merges the records that a sibling sent.
     void receive(const std::vector<Peer::Wire::SharedRecord> &records);
 
-    /// The most valuable items that fit the bytes, by value per byte, halved for each time an item
-    /// was passed on already; counts them as passed on once more.
+    /// Returns the most valuable items that fit into the byte limit, and counts them as sent once
+    /// more. The value per byte is halved for each time an item was already sent.
     std::vector<Peer::Wire::SharedRecord> pack(std::size_t maxBytes);
 
-    /// The most valuable items that fit the bytes, whether passed on or not, for a snapshot.
+    /// Returns the most valuable items that fit into the byte limit, whether already sent or not,
+    /// for a snapshot.
     std::vector<Peer::Wire::SharedRecord> snapshotRecords(std::size_t maxBytes) const;
 
-    /// Forgets what has outlived its lifetime.
+    /// Removes items that have exceeded their lifetime.
     void expire();
 
     bool knows(const SharedKey &key) const { return m_entries.contains(key); }
--- a/Libraries/LibMembership/SharedStatePublisher.cpp
+++ b/Libraries/LibMembership/SharedStatePublisher.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Envelope, vector, frame length and authentication tag around the records.
+// Overhead of the envelope, vector, frame length and authentication tag around the records.
 constexpr std::size_t MessageOverheadBytes = 84;
 constexpr std::size_t MinMessageBytes = MessageOverheadBytes + 8 * SharedRecordBytes;
 
@@ -47,7 +47,8 @@
     const auto *sibling = chooseReceiver(siblings);
     if (sibling == nullptr)
         return;
-    // A small budget is saved up for some rounds rather than spent on frames around few records.
+    // A small budget accumulates over several rounds instead of being spent on the overhead of
+    // messages with few records.
     const auto bytesPerRound = static_cast<std::size_t>(
         m_settings.bytesPerSecond * m_settings.roundPeriod / std::chrono::seconds(1));
     const auto bytes =
--- a/Libraries/LibMembership/SharedStatePublisher.h
+++ b/Libraries/LibMembership/SharedStatePublisher.h
@@ -15,24 +15,25 @@
 
 struct PublisherSettings
 {
-    /// What is sent each second, frames and all, whatever the size of the fleet.
+    /// Bytes sent per second, including framing, independent of the fleet size.
     std::size_t bytesPerSecond = 3'072;
-    /// One sibling is sent to each round. What is new so reaches twice as many each round.
+    /// The interval between rounds. Each round sends to one sibling, so an update can reach twice
+    /// as many instances each round.
     std::chrono::milliseconds roundPeriod {250};
-    /// The share of rounds that go to the own data centre, while it has others.
+    /// The share of rounds that send to a sibling in the own data centre, if there is one.
     double ownDataCentreShare = 0.5;
 };
 
-/// Sends the most valuable shared state to one random live sibling each round, within a fixed
-/// budget of bytes. Not thread-safe; run it on the strand of its SharedState.
+/// Sends the most valuable shared state to one random live sibling each round, within a fixed byte
+/// budget. Not thread-safe; run it on the strand of its SharedState.
 class SharedStatePublisher
 {
 public:
     struct Hooks
     {
-        /// The live siblings.
+        /// Returns the live siblings.
         std::function<std::vector<Member>()> siblings;
-        /// Sends a one-way message to IP:port. May lose it.
+        /// Sends a one-way message to IP:port. Delivery is not guaranteed.
         std::function<void(const std::string &address, Peer::Body message)> send;
     };
 
@@ -40,7 +41,7 @@
                          Core::DataCentreId dataCentre, const PublisherSettings &settings,
                          Hooks hooks);
 
-    /// Does what is due. Call at least once a round.
+    /// Performs the round if it is due. Must be called at least once per round.
     void tick();
 
 private:
--- a/Libraries/LibMembership/Snapshot.cpp
+++ b/Libraries/LibMembership/Snapshot.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::uint16_t MinSnapshotVersion = 1;
-// Envelope, environment and numbers around the lists.
+// Envelope, environment and numeric fields around the lists.
 constexpr std::size_t FixedSnapshotBytes = 512;
 
 } // namespace
@@ -69,8 +69,9 @@
         return SnapshotValidity::OtherEnvironment;
     if (snapshot.version < MinSnapshotVersion || snapshot.version > SnapshotVersion)
         return SnapshotValidity::IncompatibleVersion;
-    // A sibling that is ahead has newer weights than this instance, whose own configuration will
-    // follow; one that is behind must agree on the weights of every model that both know.
+    // A sibling with a newer generation has newer weights, and this instance's own configuration
+    // will catch up. A sibling with an older generation must agree on the weights of every model
+    // that both know.
     if (snapshot.generation >= context.generation)
         return SnapshotValidity::Take;
     const bool agrees =
--- a/Libraries/LibMembership/Snapshot.h
+++ b/Libraries/LibMembership/Snapshot.h
@@ -14,22 +14,23 @@
 
 namespace Membership {
 
-/// The version of a snapshot's content; a reader takes its own version and the one before it.
+/// The version of a snapshot's content. A reader accepts its own version and the previous one.
 constexpr std::uint16_t SnapshotVersion = 1;
 
-/// What an instance has in force, which a snapshot must fit.
+/// The environment and configuration of an instance, with which a snapshot must be compatible.
 struct SnapshotContext
 {
     std::string environment;
-    /// 0 while there is no configuration yet.
+    /// 0 until a configuration is in force.
     std::uint64_t generation = 0;
     std::uint64_t generationDigest = 0;
-    /// Hash of the weights version by hash of the model's id.
+    /// Hashes of the weights versions, by the hash of the model's id.
     std::map<std::uint64_t, std::uint64_t> weights;
 };
 
-/// The answer to a starting sibling: members and the most valuable shared state, at most as many
-/// bytes as the request and the limit allow. Throws Error(PeerRejected) for another environment.
+/// Creates the answer to a starting sibling: members and the most valuable shared state, limited to
+/// the smaller of the request's limit and maxBytes. Throws Error(PeerRejected) when the request is
+/// for another environment.
 Peer::Wire::SnapshotT makeSnapshot(const SnapshotContext &context,
                                    const std::vector<Member> &members, const SharedState &state,
                                    std::chrono::milliseconds uptime,
@@ -40,41 +41,41 @@
     Take,
     OtherEnvironment,
     IncompatibleVersion,
-    /// From before a change of weights that this instance already has in force.
+    /// The snapshot predates a change of weights that is already in force at this instance.
     OlderWeights,
 };
 
 std::string_view snapshotValidityName(SnapshotValidity validity);
 
-/// Whether a starting instance may use the snapshot.
+/// Checks whether a starting instance may use the snapshot.
 SnapshotValidity validateSnapshot(const Peer::Wire::SnapshotT &snapshot,
                                   const SnapshotContext &context);
 
-/// How much the siblings' snapshots were worth.
+/// How complete the state is that the siblings' snapshots provided.
 enum class WarmStartResult {
-    /// No usable snapshot: the prefix-cache index is empty, and prefixes go to preferred
+    /// No usable snapshot: the prefix-cache index is empty, and prefixes are assigned to preferred
     /// upstreams by hashing alone.
     None,
-    /// Only siblings that started a moment ago: all they know was taken together.
+    /// Only siblings that had started recently answered; their snapshots were merged.
     Partial,
     Full,
 };
 
-/// Takes the snapshots of a few siblings while an instance starts. The first one of a sibling that
-/// has run for long enough ends the search; when all siblings are as new as this instance, what
-/// they have is merged, which is harmless because merging is idempotent, and the instance does not
-/// wait for anything better.
+/// Collects the snapshots of a few siblings while an instance starts. The first snapshot of a
+/// sibling that has run for long enough completes the collection. If all siblings are as new as
+/// this instance, their snapshots are merged, which is safe because merging is idempotent, and the
+/// instance does not wait for a better one.
 class SnapshotCollector
 {
 public:
     SnapshotCollector(SnapshotContext context, std::chrono::milliseconds warmUptime);
 
-    /// Judges a snapshot, logs it, and merges it into the state if it may be used. Its members are
-    /// given back for ProbeService::adopt().
+    /// Validates a snapshot, logs the result, and merges the snapshot into the state if it is
+    /// usable. Returns its members for ProbeService::adopt().
     std::vector<Member> add(const Peer::Wire::SnapshotT &snapshot, const std::string &sibling,
                             SharedState &state);
 
-    /// Whether there is no use in asking another sibling.
+    /// Returns whether no other sibling needs to be asked.
     bool isDone() const { return m_result == WarmStartResult::Full; }
     WarmStartResult result() const { return m_result; }
 
--- a/Libraries/LibRouter/AdminPort.h
+++ b/Libraries/LibRouter/AdminPort.h
@@ -10,22 +10,24 @@
 
 namespace Router {
 
-/// Answers the operators' port: health, readiness, metrics, status, drain and explain.
+/// Handles requests to the operators' port: health, readiness, metrics, status, usage, drain and
+/// explain.
 class AdminPort
 {
 public:
     explicit AdminPort(Instance &instance);
 
-    /// Sets what gives the account of the environment.
+    /// Sets the hook that produces the usage account of the environment.
     void setUsageHook(std::function<boost::asio::awaitable<boost::json::object>()> hook);
-    /// Sets what adds further fields to the status. Called on the admin port's thread.
+    /// Sets the hook that adds further fields to the status. It is called on the admin port's
+    /// thread.
     void setStatusHook(std::function<void(boost::json::object &)> hook);
 
     boost::asio::awaitable<void> handle(Http::ServerExchange &exchange);
 
 private:
     boost::json::object status() const;
-    /// The placement's reasons for a request {"team","model","prompt"}.
+    /// Returns the terms of the placement's decision for a request {"team","model","prompt"}.
     boost::json::object explain(const std::string &body) const;
 
     Instance &m_instance;
--- a/Libraries/LibRouter/AdmissionGate.cpp
+++ b/Libraries/LibRouter/AdmissionGate.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-/// What the waiting coroutine and the controller's hook share. Only the coroutine's thread touches
-/// it; the hook posts there.
+/// State shared by the waiting coroutine and the controller's hook. Only the coroutine's thread
+/// accesses it; the hook posts to that thread.
 struct PendingAdmission
 {
     explicit PendingAdmission(const asio::any_io_executor &executor)
@@ -29,7 +29,7 @@
     bool withdrawn = false;
 };
 
-/// Ends the hook of a caller that went away when the wait is over.
+/// Sets the exchange's hook for a disconnected caller, and clears it when the wait is over.
 class CallerGoneHookScope
 {
 public:
@@ -85,7 +85,7 @@
         wait->withdrawn = controller.withdraw(id);
         wait->timer.cancel();
     });
-    // A hook may cancel the timer before the wait begins, so what it left is looked at first.
+    // A hook may cancel the timer before the wait begins, so its result is checked first.
     while (!wait->decision && !wait->withdrawn) {
         boost::system::error_code ec;
         co_await wait->timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
--- a/Libraries/LibRouter/AdmissionGate.h
+++ b/Libraries/LibRouter/AdmissionGate.h
@@ -13,7 +13,7 @@
 
 namespace Router {
 
-/// A granted slot. Released, and put on the team's account, when it goes out of scope.
+/// A granted slot. It is released and charged to the team's account when it goes out of scope.
 class AdmissionSlot
 {
 public:
@@ -30,7 +30,8 @@
     AdmissionSlot &operator=(AdmissionSlot &&) = delete;
 
     const Admission::Grant &grant() const { return m_grant; }
-    /// What the upstream computed and generated, for the team's account at the release.
+    /// Sets the tokens that the upstream computed and generated, which are charged to the team's
+    /// account on release.
     void setTokens(const Accounting::TokenCounts &tokens) { m_tokens = tokens; }
 
 private:
@@ -41,8 +42,8 @@
     Accounting::TokenCounts m_tokens;
 };
 
-/// Waits for a slot. Throws the admission's refusal, which says that nothing ran, or
-/// boost::system::system_error when the caller goes away first.
+/// Waits for a slot. Throws the error with which the admission refuses the request, in which case
+/// nothing has run, or boost::system::system_error when the caller disconnects first.
 boost::asio::awaitable<AdmissionSlot> awaitAdmission(Instance &instance, Admission::Ticket ticket,
                                                      Http::ServerExchange &exchange);
 
--- a/Libraries/LibRouter/AnswerSink.cpp
+++ b/Libraries/LibRouter/AnswerSink.cpp
@@ -14,7 +14,7 @@
 
 constexpr unsigned StatusOk = 200;
 
-/// Passes every chunk on as it comes.
+/// Forwards every chunk to the caller as it arrives.
 class StreamSink final : public AnswerSink
 {
 public:
@@ -65,7 +65,7 @@
     std::string m_publicId;
 };
 
-/// Keeps the text until the answer is complete.
+/// Buffers the text until the answer is complete.
 class BufferingSink final : public AnswerSink
 {
 public:
--- a/Libraries/LibRouter/AnswerSink.h
+++ b/Libraries/LibRouter/AnswerSink.h
@@ -12,16 +12,16 @@
 
 namespace Router {
 
-/// Where the tokens of one answer go: to the caller at once, or together at the end.
+/// Sends the tokens of one answer to the caller, either as they arrive or as a whole at the end.
 class AnswerSink
 {
 public:
-    /// The sink that the call asks for. The exchange must outlive it.
+    /// Creates the kind of sink that the call requires. The exchange must outlive it.
     static std::unique_ptr<AnswerSink> create(Http::ServerExchange &exchange,
                                               const CompletionCall &call, std::string publicId);
     virtual ~AnswerSink() = default;
 
-    /// Takes the next chunk of the answer, in order.
+    /// Accepts the next chunk of the answer, in order.
     virtual boost::asio::awaitable<void> writeChunk(const CompletionChunk &chunk,
                                                     std::uint64_t completionTokens) = 0;
     /// Ends a complete answer.
--- a/Libraries/LibRouter/CallContext.h
+++ b/Libraries/LibRouter/CallContext.h
@@ -10,7 +10,8 @@
 
 namespace Router {
 
-/// Who calls, under which configuration. Pointers live as long as the document, which it keeps.
+/// The identity of a caller and the configuration that applies to its call. The pointers point into
+/// the document, which the context keeps alive.
 struct CallContext
 {
     std::shared_ptr<const Configuration::Document> document;
@@ -23,10 +24,10 @@
     Metrics::Labels labels() const;
 };
 
-/// Finds the calling team. Throws Error(Draining, NotReady, Unauthenticated).
+/// Finds the calling team. Throws Error(NotReady, Unauthenticated).
 CallContext authenticate(Instance &instance, const Http::Request &request);
 
-/// Finds the contract for a group and the class that the request asks for with the header
+/// Finds the contract for a group, and the priority class that the request selects with the header
 /// X-Priority-Class. Throws Error(Forbidden).
 void authorise(CallContext &context, const Core::UpstreamGroupId &group,
                const Http::Request &request);
--- a/Libraries/LibRouter/CompletionAttempt.cpp
+++ b/Libraries/LibRouter/CompletionAttempt.cpp
@@ -11,7 +11,7 @@
 constexpr unsigned StatusTooManyRequests = 429;
 constexpr unsigned StatusServiceUnavailable = 503;
 
-/// What an engine's refusal means for the call.
+/// Throws the error that corresponds to an engine's refusal.
 [[noreturn]] void throwRefusal(const Http::ClientExchange &answer)
 {
     const auto status = answer.status();
@@ -79,7 +79,8 @@
     if (progress.isComplete && hasToken)
         throw Core::Error(Core::ErrorKind::UpstreamAnswerMalformed,
                           "a token after the answer's end");
-    // An engine that resumes from an earlier token than asked repeats what the caller has.
+    // An engine that resumes from an earlier token than requested repeats tokens that the caller
+    // already has.
     if (hasToken && index < progress.tokens)
         co_return;
     if (index > progress.tokens)
@@ -115,7 +116,7 @@
     Http::ClientTimeouts timeouts;
     timeouts.connect = m_instance.settings().connectTimeout;
     timeouts.head = m_model.firstTokenTimeout;
-    // Until the first token has come; engines may send the head of the answer before.
+    // Applies until the first token arrives; engines may send the head of the response before it.
     timeouts.body = m_model.firstTokenTimeout;
     return timeouts;
 }
--- a/Libraries/LibRouter/CompletionAttempt.h
+++ b/Libraries/LibRouter/CompletionAttempt.h
@@ -13,10 +13,10 @@
 
 namespace Router {
 
-/// How far the answer to one call has come, over all its attempts.
+/// The progress of the answer to one call, over all its attempts.
 struct AnswerProgress
 {
-    /// Tokens passed on; the next one wanted has this number.
+    /// The number of tokens forwarded, which is also the index of the next expected token.
     std::uint64_t tokens = 0;
     std::optional<std::uint64_t> promptTokens;
     std::optional<std::uint64_t> cachedTokens;
@@ -24,15 +24,16 @@
     std::optional<Core::Clock::Monotonic> firstTokenAt;
 };
 
-/// Thrown for an upstream that refuses work because it leaves. Nothing ran.
+/// Thrown when an upstream refuses work because it is leaving. Nothing has run.
 struct UpstreamDraining
 { };
 
-/// Sends a call to one engine and passes its tokens on, from where the answer stands.
+/// Sends a call to one engine and forwards its tokens, resuming at the current position of the
+/// answer.
 class CompletionAttempt
 {
 public:
-    /// What the engine is asked for, and who is told of the attempt's first token.
+    /// Parameters of the engine's request, and a callback for the attempt's first token.
     struct Options
     {
         std::uint64_t maxTokens = 0;
@@ -44,7 +45,7 @@
                       const Configuration::Model &model, Options options);
 
     /// Returns with progress.isComplete set, or throws Core::Error for the upstream's failures,
-    /// UpstreamDraining, or boost::system::system_error when the caller is gone.
+    /// UpstreamDraining, or boost::system::system_error when the caller has disconnected.
     boost::asio::awaitable<void> run(UpstreamPtr upstream, std::string attemptId, AnswerSink &sink,
                                      AnswerProgress &progress);
 
--- a/Libraries/LibRouter/CompletionCall.h
+++ b/Libraries/LibRouter/CompletionCall.h
@@ -11,7 +11,7 @@
 
 namespace Router {
 
-/// A caller's completion request, checked.
+/// A validated completion request of a caller.
 class CompletionCall
 {
 public:
@@ -20,22 +20,24 @@
         Chat,
     };
 
-    /// Reads the JSON body. Fails with MalformedRequest.
+    /// Parses the JSON body. Fails with MalformedRequest.
     static Core::Result<CompletionCall> parse(Kind kind, std::string_view body);
 
     Kind kind() const { return m_kind; }
     const std::string &model() const { return m_model; }
-    /// The text that engines cache: the prompt, or the chat's messages one after the other.
+    /// Returns the text that engines cache: the prompt, or the concatenated messages of the chat.
     const std::string &promptText() const { return m_promptText; }
-    /// Whether the caller wants the answer as a stream.
+    /// Returns whether the caller wants the answer as a stream.
     bool isStream() const { return m_isStream; }
-    /// The longest answer asked for, in tokens; 0 when the caller does not say.
+    /// Returns the requested maximum length of the answer in tokens, or 0 when the caller sets
+    /// none.
     std::uint64_t maxTokens() const { return m_maxTokens; }
-    /// Names equal requests: a digest of the prompt, the model and the kind.
+    /// Returns a digest of the prompt, the model and the kind, which is the same for equal
+    /// requests.
     std::uint64_t digest() const { return m_digest; }
-    /// The request's path at an engine.
+    /// Returns the path of the request at an engine.
     std::string_view path() const;
-    /// The body for an engine, always streamed, from the given token on.
+    /// Returns the body for an engine. The answer is always streamed and starts at the given token.
     std::string engineBody(std::uint64_t maxTokens, int priority, std::uint64_t resumeFrom) const;
 
 private:
--- a/Libraries/LibRouter/CompletionChunk.cpp
+++ b/Libraries/LibRouter/CompletionChunk.cpp
@@ -29,7 +29,8 @@
     return value ? value->if_object() : nullptr;
 }
 
-/// Engines put a prefix of their own before the id that they were given.
+/// Returns whether a chunk answers the given request. Engines prepend their own prefix to the
+/// request id.
 bool answersRequest(const json::object &body, std::string_view requestId)
 {
     const auto *id = body.if_contains("id");
@@ -64,7 +65,7 @@
     const auto *choices = m_body.if_contains("choices");
     if (!choices || !choices->is_array())
         throw malformed("a chunk has no choices");
-    // A chunk with only the usage has an empty list.
+    // A chunk that contains only the usage has an empty list.
     if (choices->get_array().empty())
         return;
     const auto *choice = choices->get_array().front().if_object();
@@ -96,7 +97,7 @@
     body["model"] = model;
     body.erase("token_index");
     if (auto *usage = body.if_contains("usage"); usage && usage->is_object()) {
-        // After a resume the engine counts only its own tokens.
+        // After a resume, the engine counts only its own tokens.
         usage->get_object()["completion_tokens"] = completionTokens;
         usage->get_object()["total_tokens"] = completionTokens + m_promptTokens.value_or(0);
     }
--- a/Libraries/LibRouter/CompletionChunk.h
+++ b/Libraries/LibRouter/CompletionChunk.h
@@ -11,23 +11,24 @@
 
 namespace Router {
 
-/// One event of an engine's completion stream, checked.
+/// A validated event of an engine's completion stream.
 class CompletionChunk
 {
 public:
-    /// Reads the event's data. Fails with UpstreamAnswerMalformed when it is not a chunk, or when
-    /// it answers another request than the one named.
+    /// Parses the event's data. Fails with UpstreamAnswerMalformed when it is not a chunk, or when
+    /// it answers a request other than the given one.
     static Core::Result<CompletionChunk> parse(std::string_view data, std::string_view requestId);
 
-    /// The position of the chunk's token in the answer, when the engine says it.
+    /// Returns the position of the chunk's token in the answer, if the engine reports it.
     std::optional<std::uint64_t> tokenIndex() const { return m_tokenIndex; }
-    /// The text the chunk adds to the answer.
+    /// Returns the text that the chunk adds to the answer.
     const std::string &text() const { return m_text; }
-    /// Whether the answer ends with this chunk.
+    /// Returns whether the answer ends with this chunk.
     bool isLast() const { return m_isLast; }
     std::optional<std::uint64_t> promptTokens() const { return m_promptTokens; }
     std::optional<std::uint64_t> cachedTokens() const { return m_cachedTokens; }
-    /// The chunk as the caller receives it: the engine's, under the public id and model name.
+    /// Returns the chunk as sent to the caller: the engine's chunk with the public id and model
+    /// name.
     std::string forCaller(std::string_view publicId, std::string_view model,
                           std::uint64_t completionTokens) const;
 
--- a/Libraries/LibRouter/CompletionRelay.cpp
+++ b/Libraries/LibRouter/CompletionRelay.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Whether another engine may do better with the same call.
+/// Returns whether the same call may succeed at another engine.
 bool mayRetryOnOtherUpstream(Core::ErrorKind kind)
 {
     switch (kind) {
@@ -141,8 +141,9 @@
 {
     if (!group.candidates)
         return std::nullopt;
-    // A crash makes every request that ran there suspect, most of them without reason. They are
-    // kept apart where there are upstreams enough, but none is refused for want of one.
+    // A crash makes every request that ran on the upstream suspect, although most of them did not
+    // cause it. Suspect requests are kept on separate upstreams where there are enough upstreams,
+    // but none is refused for lack of one.
     for (const auto filter :
          {UpstreamFilter::Isolated, UpstreamFilter::Healthy, UpstreamFilter::AnyLive}) {
         auto excluded = m_tried;
@@ -178,7 +179,7 @@
     } catch (const UpstreamDraining &) {
         draining = true;
     } catch (...) {
-        // The caller is gone. Dropping the connection cancels the work upstream.
+        // The caller has disconnected. Closing the connection cancels the work at the upstream.
         if (!hasToken)
             placement.noteFailed(decision);
         Core::logEvent(Core::EventId::CallerWentAway, {{"request", m_context.requestId}});
@@ -223,7 +224,7 @@
 
 void CompletionRelay::noteCrash(const Upstream &upstream, std::uint64_t incarnation)
 {
-    // Every request that a crash breaks off notes the same crash, each against its own digest.
+    // Every request that a crash interrupts records the same crash under its own digest.
     const auto crash = Core::hash64(upstream.id().value(), incarnation);
     m_instance.noteCrash(crash, m_call.digest());
     Core::logEvent(Core::EventId::PoisonSuspected,
--- a/Libraries/LibRouter/CompletionRelay.h
+++ b/Libraries/LibRouter/CompletionRelay.h
@@ -11,8 +11,8 @@
 
 namespace Router {
 
-/// Answers one completion call: chooses engines one after the other until the answer is whole, and
-/// resumes a broken stream at the next one.
+/// Answers one completion call: tries engines one after the other until the answer is complete, and
+/// resumes an interrupted stream at the next engine.
 class CompletionRelay
 {
 public:
@@ -20,22 +20,23 @@
     CompletionRelay(Instance &instance, Http::ServerExchange &exchange, CallContext context,
                     CompletionCall call, const Configuration::Model &model);
 
-    /// Throws Core::Error for a refusal before anything ran.
+    /// Throws Core::Error when the call is refused before anything has run.
     boost::asio::awaitable<void> run();
 
 private:
-    /// What one attempt came to.
+    /// The result of one attempt.
     enum class AttemptOutcome {
         Complete,
         TryNext,
         GiveUp,
     };
 
-    /// Which upstreams a request may go to.
+    /// Determines to which upstreams a request may be sent.
     enum class UpstreamFilter {
-        /// Without failures of late, and a suspect request with no other suspect.
+        /// Upstreams without recent failures; a suspect request shares none with another suspect
+        /// request.
         Isolated,
-        /// Without failures of late.
+        /// Upstreams without recent failures.
         Healthy,
         AnyLive,
     };
@@ -64,7 +65,7 @@
     std::unique_ptr<AnswerSink> m_sink;
     AnswerProgress m_progress;
     std::vector<Placement::UpstreamSlot> m_tried;
-    /// The last failure, with the status of all attempts so far.
+    /// The last failure, with the execution status of all attempts so far.
     std::optional<Core::Error> m_lastError;
     Admission::Grant m_grant;
     bool m_isSuspect = false;
--- a/Libraries/LibRouter/DirectoryWatcher.h
+++ b/Libraries/LibRouter/DirectoryWatcher.h
@@ -9,8 +9,8 @@
 
 namespace Router {
 
-/// Reads the platform's instance list again and again. While the platform does not answer, what
-/// was known stays.
+/// Reads the platform's instance list periodically. While the platform does not answer, the last
+/// known list stays in use.
 class DirectoryWatcher
 {
 public:
--- a/Libraries/LibRouter/InFlightGuard.h
+++ b/Libraries/LibRouter/InFlightGuard.h
@@ -4,7 +4,7 @@
 
 namespace Router {
 
-/// Counts a request as under way at its upstream for as long as it lives.
+/// Counts a request as in flight at its upstream during the lifetime of the guard.
 class InFlightGuard
 {
 public:
--- a/Libraries/LibRouter/Instance.cpp
+++ b/Libraries/LibRouter/Instance.cpp
@@ -74,7 +74,7 @@
         return;
     Core::logEvent(Core::EventId::ConfigurationInForce,
                    {{"generation", std::to_string(next.generation)}});
-    // The validator has checked the shares, so the rules are taken.
+    // The validator has already checked the shares, so the policy is accepted.
     m_admission->configure(buildAdmissionPolicy(*next.document, m_directory)).value();
     m_documents[next.generation] = next.document;
     if (m_documents.size() > MaxKeptDocuments)
--- a/Libraries/LibRouter/Instance.h
+++ b/Libraries/LibRouter/Instance.h
@@ -32,7 +32,7 @@
     std::shared_ptr<const Configuration::Document> document;
 };
 
-/// One entry instance: what all its requests share. Safe from any thread.
+/// The state of one entry instance that all its requests share. Safe from any thread.
 class Instance
 {
 public:
@@ -47,41 +47,44 @@
     Admission::Controller &admission() { return *m_admission; }
     Accounting::UsageMeter &usage() { return m_usage; }
     Admission::SuspectTable &suspects() { return m_suspects; }
-    /// Notes that an upstream broke off under the request, and has siblings told at once: the
-    /// caller may send the request again to any of them.
+    /// Records that an upstream crashed while it processed the request, and reports that to
+    /// siblings immediately, because the caller may send the request again to any of them.
     void noteCrash(std::uint64_t crash, Admission::RequestDigest digest);
-    /// Sets what tells siblings of a crash. Comes before the first request; called from any thread.
+    /// Sets the hook that reports a crash to siblings. Must be called before the first request; the
+    /// hook is called from any thread.
     void setCrashHook(std::function<void()> hook) { m_crashHook = std::move(hook); }
-    /// Null until setClaims(), which comes before the first request.
+    /// Null until setClaims() is called, which must happen before the first request.
     Claims::ClaimCoordinator *claims() { return m_claims.get(); }
     void setClaims(std::shared_ptr<Claims::ClaimCoordinator> claims)
     {
         m_claims = std::move(claims);
     }
-    /// The retries that a group allows. Lives as long as the instance.
+    /// Returns the retry budget of a group. The reference is valid for the lifetime of the
+    /// instance.
     Admission::RetryBudget &retryBudget(const Core::UpstreamGroupId &group);
 
     ConfigurationInForce configuration() const;
-    /// The document of a generation that was in force during this life of the instance, or else
-    /// the present one.
-    // FIXME: After a restart, usage from before a change of shares is settled by the shares of now;
-    // the configuration's history in the log would tell the older ones.
+    /// Returns the document of a generation that was in force in this incarnation of the instance,
+    /// or otherwise the current one.
+    // FIXME: After a restart, usage from before a change of shares is settled with the current
+    // shares; the history of the configuration in the log contains the older ones.
     std::shared_ptr<const Configuration::Document>
     documentForGeneration(std::uint64_t generation) const;
-    /// Puts a document in force unless it is older than the present one.
+    /// Puts a document in force if its generation is newer than the current one.
     void setConfiguration(ConfigurationInForce next);
 
-    /// Tells the admission how many slots the live upstreams have.
+    /// Updates the admission with the number of slots of the live upstreams.
     void refreshSlots();
-    /// Refuses late work, renews shares and notes them in the account. Call every 50 to 200 ms.
+    /// Rejects requests that are past their deadline, renews shares and records them in the
+    /// account. Must be called every 50 to 200 ms.
     void tickAdmission();
 
     bool isDraining() const { return m_draining; }
-    /// Refuses new requests from now on. Running ones go on.
+    /// Stops accepting new requests. Running requests continue.
     void drain();
     bool isReady() const;
 
-    /// A name for one request that no other instance and no other life of this one gives.
+    /// Returns a request id that no other instance and no other incarnation of this instance uses.
     std::string nextRequestId();
 
 private:
--- a/Libraries/LibRouter/LoadProber.cpp
+++ b/Libraries/LibRouter/LoadProber.cpp
@@ -87,7 +87,7 @@
         if (draining && draining->is_bool() && draining->get_bool() && upstream->noteLeaving())
             Core::logEvent(Core::EventId::UpstreamLeaving, {{"upstream", upstream->id().value()}});
     } catch (const std::exception &) {
-        // A missed report is no failure of requests; the next one may come.
+        // A missing report does not count as a failed request; the next probe may succeed.
     }
 }
 
--- a/Libraries/LibRouter/LoadProber.h
+++ b/Libraries/LibRouter/LoadProber.h
@@ -9,14 +9,14 @@
 
 namespace Router {
 
-/// Asks each engine for its load, again and again, one coroutine an engine. A report also shows
-/// that an engine that had failed is back, so that no request has to find out.
+/// Polls the load of each engine periodically, with one coroutine per engine. A report also shows
+/// that a failed engine has recovered, so that no request has to test it.
 class LoadProber
 {
 public:
     explicit LoadProber(Instance &instance);
 
-    /// Starts and ends probes as engines come and go. Runs until its context stops.
+    /// Starts and stops probes as engines are added and removed. Runs until its context stops.
     boost::asio::awaitable<void> run();
 
 private:
--- a/Libraries/LibRouter/PolicyBuilder.h
+++ b/Libraries/LibRouter/PolicyBuilder.h
@@ -6,11 +6,11 @@
 
 namespace Router {
 
-/// The admission rules that a document sets, with the slots of the upstreams known now.
+/// Builds the admission policy from a document and the slots of the currently known upstreams.
 Admission::Policy buildAdmissionPolicy(const Configuration::Document &document,
                                        const UpstreamDirectory &directory);
 
-/// Requests that the group's live upstreams run at once.
+/// Returns the number of requests that the group's live upstreams run concurrently.
 std::uint32_t countSlots(const Configuration::UpstreamGroup &group,
                          const UpstreamDirectory &directory);
 
--- a/Libraries/LibRouter/RequestRouter.cpp
+++ b/Libraries/LibRouter/RequestRouter.cpp
@@ -16,7 +16,8 @@
     return target.substr(0, target.find('?'));
 }
 
-/// A refusal of a keyed call that never got as far as the claims can say nothing of the key.
+/// Sets the execution status of the key to unknown when a call with an idempotency key is refused
+/// before the claims are consulted.
 Core::Error withKeyExecutionStatus(const Core::Error &error, const Http::Request &request)
 {
     if (error.key() || !request.headers.find("Idempotency-Key"))
--- a/Libraries/LibRouter/RequestRouter.h
+++ b/Libraries/LibRouter/RequestRouter.h
@@ -7,7 +7,8 @@
 
 namespace Router {
 
-/// Answers the callers' port: finds out who calls and what for, and hands the request on.
+/// Handles requests to the callers' port: authenticates the caller, determines the route and
+/// dispatches the request.
 class RequestRouter
 {
 public:
--- a/Libraries/LibRouter/RouterMetrics.h
+++ b/Libraries/LibRouter/RouterMetrics.h
@@ -7,7 +7,7 @@
 
 namespace Router {
 
-/// Everything one instance counts about requests. Safe from any thread.
+/// The request metrics of one instance. Safe from any thread.
 class RouterMetrics
 {
 public:
--- a/Libraries/LibRouter/RouterSettings.h
+++ b/Libraries/LibRouter/RouterSettings.h
@@ -8,20 +8,20 @@
 
 namespace Router {
 
-/// Who this instance is and how patient it is.
+/// The identity, polling intervals and limits of this instance.
 struct RouterSettings
 {
     Core::InstanceId instance;
     Core::DataCentreId dataCentre;
     std::string environment;
-    /// Tells this life of the instance from earlier ones.
+    /// Distinguishes this process from earlier processes of the same instance.
     std::uint64_t incarnation = 0;
-    /// How often the platform's instance list is read.
+    /// The interval at which the platform's instance list is read.
     std::chrono::milliseconds directoryPeriod {500};
-    /// How often an upstream is asked for its load.
+    /// The interval at which an upstream is polled for its load.
     std::chrono::milliseconds loadPeriod {100};
     std::chrono::milliseconds connectTimeout {1000};
-    /// Upstreams that one request may be sent to in all.
+    /// The maximum number of upstreams to which one request may be sent.
     unsigned attempts = 3;
 };
 
--- a/Libraries/LibRouter/ServiceCall.h
+++ b/Libraries/LibRouter/ServiceCall.h
@@ -12,7 +12,8 @@
 
 namespace Router {
 
-/// A call to a plain service, with all it needs to go on after its caller has gone away.
+/// A call to a plain service, with everything that is needed to complete it after the caller has
+/// disconnected.
 struct ServiceCall
 {
     Core::UpstreamGroupId group;
@@ -20,18 +21,18 @@
     std::chrono::milliseconds timeout {0};
 };
 
-/// The member of the group that takes the next call: not leaving, not tried, if possible not
-/// suspected, with the least under way. Null when there is none.
+/// Returns the upstream of the group for the next call: not leaving, not tried yet, preferably not
+/// suspected, and with the fewest requests in flight. Returns null when there is none.
 UpstreamPtr chooseServiceUpstream(Instance &instance, const Core::UpstreamGroupId &group,
                                   const std::vector<UpstreamPtr> &tried);
 
-/// Sends the call to one upstream. Throws as Http::Client::fetch() does.
+/// Sends the call to one upstream. Throws the errors of Http::Client::fetch().
 boost::asio::awaitable<Http::Response> sendServiceCall(Instance &instance, ServiceCall call,
                                                        UpstreamPtr upstream,
                                                        Http::ConnectionUse use);
 
-/// Sends the call to one upstream at the most. Only a connect that failed, before which no byte of
-/// the request can have left, leads to another upstream.
+/// Sends the call to at most one upstream. Another upstream is tried only after a failed connection
+/// attempt, because no byte of the request can have been sent before.
 boost::asio::awaitable<Claims::SendResult> sendServiceCallOnce(Instance &instance,
                                                                ServiceCall call);
 
--- a/Libraries/LibRouter/ServiceRelay.cpp
+++ b/Libraries/LibRouter/ServiceRelay.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-/// Headers that belong to one connection, or that carry the caller's secret.
+/// Returns whether a header may be forwarded. Headers that belong to one connection or that contain
+/// the caller's credentials may not.
 bool mayForward(std::string_view name)
 {
     constexpr std::array<std::string_view, 9> NotForwarded {
--- a/Libraries/LibRouter/ServiceRelay.h
+++ b/Libraries/LibRouter/ServiceRelay.h
@@ -14,11 +14,11 @@
 
 namespace Router {
 
-/// The part of a target that names a plain service's path: "/services/NAME/rest?query".
+/// The service name and the path in a request target "/services/NAME/rest?query".
 struct ServiceTarget
 {
     std::string name;
-    /// Path and query for the upstream, from the slash after the name on.
+    /// Path and query for the upstream, starting with the slash after the name.
     std::string rest;
 
     /// Throws Error(UnknownRoute).
@@ -26,7 +26,7 @@
     std::string_view path() const;
 };
 
-/// Passes a call on to a plain service.
+/// Forwards a call to a plain service.
 class ServiceRelay
 {
 public:
@@ -34,16 +34,17 @@
     ServiceRelay(Instance &instance, Http::ServerExchange &exchange, CallContext context,
                  const Configuration::PlainService &service, const ServiceTarget &target);
 
-    /// Sends an idempotent call, to another upstream after a failure.
+    /// Sends an idempotent call, and tries another upstream after a failure.
     boost::asio::awaitable<void> runIdempotent();
-    /// Runs a call that may not be repeated, under its idempotency key.
+    /// Runs a call that must not be repeated, under its idempotency key.
     boost::asio::awaitable<void> runAtMostOnce();
 
 private:
     ServiceCall makeCall(const ServiceTarget &target) const;
     Admission::Ticket ticket() const;
     std::uint64_t digest() const;
-    /// Throws the refusal with the truth about the key when the call may not go on.
+    /// Throws an early rejection with the execution status of the key when the instance is draining
+    /// or the key has expired.
     void rejectEarly(const Claims::ClaimKey &key) const;
     boost::asio::awaitable<AdmissionSlot> admitKeyed(Claims::ClaimKey key);
     boost::asio::awaitable<void> answer(Claims::Outcome outcome);
--- a/Libraries/LibRouter/ThreadRandom.h
+++ b/Libraries/LibRouter/ThreadRandom.h
@@ -4,7 +4,7 @@
 
 namespace Router {
 
-/// The present thread's generator, for choices that need no repeatable sequence.
+/// Returns the random generator of the current thread, for choices that need not be reproducible.
 inline std::mt19937_64 &threadRandom()
 {
     thread_local std::mt19937_64 rng(std::random_device {}());
--- a/Libraries/LibRouter/Upstream.h
+++ b/Libraries/LibRouter/Upstream.h
@@ -11,8 +11,8 @@
 
 namespace Router {
 
-/// One upstream process as this instance knows it. Identity is fixed; the state is atomic and safe
-/// from any thread.
+/// One upstream process as this instance knows it. The identity is immutable; the state is atomic
+/// and safe from any thread.
 class Upstream
 {
 public:
@@ -24,27 +24,28 @@
     const Core::DataCentreId &dataCentre() const { return m_dataCentre; }
     const Http::Endpoint &endpoint() const { return m_endpoint; }
 
-    /// The upstream's number in the placement's table.
+    /// Returns the index of the upstream in the placement's table.
     Placement::UpstreamSlot slot() const { return m_slot; }
     void setSlot(Placement::UpstreamSlot slot) { m_slot = slot; }
 
     std::uint64_t incarnation() const { return m_incarnation; }
-    /// Takes over a newer incarnation; returns whether it was newer.
+    /// Records an incarnation if it is newer than the known one. Returns whether it was newer.
     bool noteIncarnation(std::uint64_t incarnation);
 
-    /// Whether the upstream must not get new work because it leaves.
+    /// Returns whether the upstream is leaving and must not get new work.
     bool isLeaving() const { return m_leaving; }
-    /// Returns whether this is news.
+    /// Marks the upstream as leaving. Returns whether it was not marked before.
     bool noteLeaving() { return !m_leaving.exchange(true); }
     void noteLive() { m_leaving = false; }
 
-    /// Whether the upstream is passed over because it failed lately.
+    /// Returns whether the upstream is skipped because of recent failures.
     bool isSuspected() const { return m_circuit.state() != Admission::CircuitState::Closed; }
-    /// Passes the upstream over after failures in a row, and lets probes find out when it is back.
+    /// The circuit breaker that skips the upstream after consecutive failures and lets probes
+    /// detect its recovery.
     Admission::UpstreamCircuit &circuit() { return m_circuit; }
 
-    /// Requests under way here that are suspected of crashing upstreams. Two of them never share
-    /// an upstream, so that the next crash tells which of them is to blame.
+    /// The number of in-flight requests that are suspected of crashing upstreams. They are kept on
+    /// separate upstreams where possible, so that the next crash shows which of them is the cause.
     std::uint32_t suspectRequests() const { return m_suspectRequests; }
     void addSuspectRequest() { ++m_suspectRequests; }
     void removeSuspectRequest() { --m_suspectRequests; }
--- a/Libraries/LibRouter/UpstreamDirectory.cpp
+++ b/Libraries/LibRouter/UpstreamDirectory.cpp
@@ -69,8 +69,8 @@
         if (upstream->noteLeaving() && m_hooks.leaving)
             m_hooks.leaving(upstream);
     } else if (restarted) {
-        // A leaving upstream takes work again only after a restart: the list lags behind the
-        // upstream's own word.
+        // A leaving upstream accepts work again only after a restart, because the list lags behind
+        // the state that the upstream itself reports.
         upstream->noteLive();
     }
     return upstream;
--- a/Libraries/LibRouter/UpstreamDirectory.h
+++ b/Libraries/LibRouter/UpstreamDirectory.h
@@ -15,36 +15,36 @@
 
 using UpstreamPtr = std::shared_ptr<Upstream>;
 
-/// The upstreams of one group at one moment.
+/// A snapshot of the upstreams of one group.
 struct UpstreamGroupView
 {
     std::vector<UpstreamPtr> upstreams;
-    /// The same upstreams, for the placement.
+    /// The same upstreams, as a candidate set for the placement.
     std::shared_ptr<const Placement::CandidateSet> candidates;
 
-    /// The member with that number, or null.
+    /// Returns the upstream with the given slot, or null.
     UpstreamPtr bySlot(Placement::UpstreamSlot slot) const;
 };
 
-/// The upstreams this instance knows, by group. Readers never wait; the list's reader replaces the
-/// whole.
+/// The upstreams that this instance knows, by group. Readers never block; each new list replaces
+/// the whole map.
 class UpstreamDirectory
 {
 public:
     struct Hooks
     {
         std::function<void(const UpstreamPtr &)> added;
-        /// Called when the list has an upstream no more, or as leaving.
+        /// Called when the list no longer contains an upstream, or marks it as leaving.
         std::function<void(const UpstreamPtr &)> leaving;
     };
 
     /// The placement must outlive the directory.
     UpstreamDirectory(Placement::Placement &placement, Hooks hooks);
 
-    /// Takes over the platform's list. Objects of upstreams that stay are kept.
+    /// Applies the platform's list. The objects of upstreams that remain listed are kept.
     void apply(const Platform::InstanceList &list);
 
-    /// The upstreams of one group; empty for an unknown group.
+    /// Returns the upstreams of one group; empty for an unknown group.
     UpstreamGroupView group(const Core::UpstreamGroupId &id) const;
     std::vector<UpstreamPtr> all() const;
 
--- a/Libraries/LibRouter/UsageAccount.cpp
+++ b/Libraries/LibRouter/UsageAccount.cpp
@@ -102,7 +102,7 @@
 
 asio::awaitable<void> UsageAccount::readToEnd()
 {
-    // A second request while the first one reads answers from what is there.
+    // A second request during a read is answered from the records that are already read.
     if (std::exchange(m_isReading, true))
         co_return;
     std::exception_ptr failure;
--- a/Libraries/LibRouter/UsageAccount.h
+++ b/Libraries/LibRouter/UsageAccount.h
@@ -11,16 +11,16 @@
 
 namespace Router {
 
-/// The account of an environment, folded from the usage records in the platform's log. Not safe
-/// for several threads at once.
+/// The usage account of an environment, aggregated from the usage records in the platform's log.
+/// Not thread-safe.
 class UsageAccount
 {
 public:
-    /// Both must outlive the account.
+    /// Both arguments must outlive the account.
     UsageAccount(Instance &instance, Platform::LogService &log);
 
-    /// Reads the log to its present end and returns the whole account that the log still holds, as
-    /// {"groups","gaps","open"}. Throws Error(PlatformUnavailable).
+    /// Reads the log to its current end and returns the account of all records that the log still
+    /// holds, as {"groups","gaps","open"}. Throws Error(PlatformUnavailable).
     boost::asio::awaitable<boost::json::object> report();
 
 private:
--- a/Libraries/LibRouter/UsageReporter.cpp
+++ b/Libraries/LibRouter/UsageReporter.cpp
@@ -45,13 +45,13 @@
 {
     m_isFinishing = true;
     asio::steady_timer timer(co_await asio::this_coro::executor);
-    // The outbox has one batch under way at a time.
+    // The outbox allows one batch in flight at a time.
     while (m_isAppending) {
         timer.expires_after(AppendPollPeriod);
         co_await timer.async_wait(asio::use_awaitable);
     }
     m_outbox.add(m_instance.usage().closeInterval(m_instance.configuration().generation));
-    // A batch whose answer was lost goes first, then the last one.
+    // A batch whose acknowledgement was lost is sent first, then the last one.
     while (m_outbox.pending() > 0) {
         const bool succeeded = co_await appendOne(true);
         if (!succeeded) {
@@ -75,7 +75,7 @@
         Core::logEvent(Core::EventId::UsageAppended, {{"bytes", std::to_string(batch->size())}});
         succeeded = true;
     } catch (const Core::Error &) {
-        // The same batch goes again at the next interval, and counts once.
+        // The same batch is sent again at the next interval; a duplicate counts once.
     }
     m_isAppending = false;
     co_return succeeded;
--- a/Libraries/LibRouter/UsageReporter.h
+++ b/Libraries/LibRouter/UsageReporter.h
@@ -11,21 +11,21 @@
 
 namespace Router {
 
-/// Appends this instance's usage records to the platform's log, one batch an interval.
+/// Appends this instance's usage records to the platform's log, one batch per interval.
 class UsageReporter
 {
 public:
-    /// All must outlive the reporter.
+    /// The instance and the log must outlive the reporter.
     UsageReporter(Instance &instance, Platform::LogService &log,
                   std::chrono::milliseconds interval);
 
     /// Runs until its context stops.
     boost::asio::awaitable<void> run();
-    /// Appends what is left, as the last batch of this life. For a graceful shutdown, on the
-    /// context of run().
+    /// Appends the remaining records as the last batch of this incarnation. For a graceful
+    /// shutdown; must run on the context of run().
     boost::asio::awaitable<void> finish();
 
-    /// The log's stream of usage records in an environment.
+    /// Returns the name of the log stream with the usage records of an environment.
     static std::string streamName(const std::string &environment);
 
 private:
--- a/Libraries/LibSiblings/AdmissionReportCodec.h
+++ b/Libraries/LibSiblings/AdmissionReportCodec.h
@@ -6,10 +6,10 @@
 
 namespace Siblings {
 
-/// The report as a one-way message of the peer link.
+/// Encodes the report as a one-way message of the peer link.
 Peer::Body encodeAdmissionReport(const Admission::SiblingReport &report);
 
-/// The report that a message holds. The sender is the one that the link's handshake named.
+/// Decodes a report. The sender is the peer that the link's handshake identified.
 Admission::SiblingReport decodeAdmissionReport(const Peer::PeerIdentity &sender,
                                                const Peer::Wire::AdmissionReportT &message);
 
--- a/Libraries/LibSiblings/ClaimQueryCodec.h
+++ b/Libraries/LibSiblings/ClaimQueryCodec.h
@@ -9,7 +9,7 @@
 Claims::HolderQuery decodeClaimQuery(const Peer::Wire::ClaimQueryT &message);
 
 Peer::Wire::ClaimReplyT encodeClaimReply(const Claims::HolderReply &reply);
-/// A status that this program does not know counts as unreachable, which promises nothing.
+/// Decodes a reply. An unknown status is decoded as Unreachable, which guarantees nothing.
 Claims::HolderReply decodeClaimReply(const Peer::Wire::ClaimReplyT &message);
 
 } // namespace Siblings
--- a/Libraries/LibSiblings/SharedStateBridge.cpp
+++ b/Libraries/LibSiblings/SharedStateBridge.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t MaxPublishedPrefixes = 128;
 constexpr std::size_t MaxPendingPrefixLocations = 8192;
 
-/// A request hotter than this a minute is shared as this.
+/// Higher request rates are shared as this value.
 constexpr float MaxRequestsPerMinute =
     static_cast<float>(std::numeric_limits<std::uint16_t>::max());
 
@@ -131,7 +131,8 @@
 void SharedStateBridge::apply(const Membership::PrefixLocation &location,
                               std::chrono::milliseconds age)
 {
-    // A starting instance gets a sibling's prefix locations before it has heard from the upstreams.
+    // A starting instance receives prefix locations from siblings before it knows the incarnations
+    // of the upstreams.
     if (!importLocation(location, age)
         && m_pendingPrefixLocations.size() < MaxPendingPrefixLocations)
         m_pendingPrefixLocations.push_back({location, m_instance.clock().now() - age});
--- a/Libraries/LibSiblings/SharedStateBridge.h
+++ b/Libraries/LibSiblings/SharedStateBridge.h
@@ -10,22 +10,23 @@
 
 namespace Siblings {
 
-/// Carries observations between an instance and the soft state that siblings share: the
-/// configuration in force, suspect requests, leaving upstreams and hot prefixes. Run it on the
-/// strand of its SharedState.
+/// Transfers observations between an instance and the soft state that siblings share: the
+/// configuration in force, suspect requests, leaving upstreams and frequently used prefixes. Run it
+/// on the strand of its SharedState.
 class SharedStateBridge
 {
 public:
-    /// Told of a configuration generation at a sibling that is newer than the one in force here.
+    /// Called when a sibling has a newer configuration generation than the one in force here.
     using NewerConfigurationHook = std::function<void(std::uint64_t generation)>;
 
     SharedStateBridge(Router::Instance &instance, NewerConfigurationHook newerConfiguration);
 
     Membership::SharedState &state() { return m_state; }
     const Membership::SharedState &state() const { return m_state; }
-    /// Publishes what this instance has observed since the last call.
+    /// Publishes the current observations of this instance, removes expired items and retries
+    /// pending imports.
     void publish();
-    /// What a snapshot for this instance must fit.
+    /// Returns the context with which a snapshot for this instance must be compatible.
     Membership::SnapshotContext snapshotContext() const;
 
 private:
@@ -34,8 +35,8 @@
     void apply(const Membership::PoisonCrash &crash, std::chrono::milliseconds age);
     void apply(const Membership::UpstreamHealth &health);
     void apply(const Membership::PrefixLocation &location, std::chrono::milliseconds age);
-    /// Hands a sibling's prefix location to the placement; false while the upstream is not known
-    /// here under the incarnation that it is about.
+    /// Passes a sibling's prefix location to the placement. Returns false while the upstream is not
+    /// known here under the location's incarnation.
     bool importLocation(const Membership::PrefixLocation &location, std::chrono::milliseconds age);
     void retryPendingImports();
     Router::UpstreamPtr findUpstream(std::uint64_t idHash) const;
@@ -46,7 +47,7 @@
     NewerConfigurationHook m_newerConfiguration;
     Membership::SharedState m_state;
 
-    /// A prefix location that came before this instance had heard from its upstream.
+    /// A prefix location that was received before the incarnation of its upstream was known here.
     struct PendingPrefixLocation
     {
         Membership::PrefixLocation location;
--- a/Libraries/LibSiblings/SiblingService.cpp
+++ b/Libraries/LibSiblings/SiblingService.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds TickPeriod {50};
-/// Admission reports and observations go out once in this many ticks.
+/// Admission reports and observations are sent once in this many ticks.
 constexpr unsigned TicksPerReport = 4;
 constexpr std::chrono::milliseconds ClaimTimeout {500};
 constexpr std::chrono::milliseconds DocumentTimeout {2'000};
@@ -152,7 +152,8 @@
 
 asio::awaitable<void> SiblingService::warmUp()
 {
-    // Siblings are known once the platform's list was read or one of them has probed us.
+    // Siblings become known when the platform's instance list is read or when one of them sends a
+    // probe.
     asio::steady_timer timer(co_await asio::this_coro::executor);
     for (unsigned n = 0; n < 100 && otherMembers().empty(); ++n) {
         timer.expires_after(TickPeriod);
@@ -169,8 +170,8 @@
 
 void SiblingService::sendAdmissionReports()
 {
-    // FIXME: With hundreds of instances a report to each exceeds the control budget; shares would
-    // then be planned within a data centre and between a few delegates.
+    // FIXME: With hundreds of instances, a report to each of them exceeds the control budget;
+    // shares would then have to be planned within a data centre and between a few delegates.
     for (const auto &member : otherMembers()) {
         const auto report = m_instance.admission().report(member.id.instance);
         m_client->send(peerAddress(member.address), encodeAdmissionReport(report));
@@ -201,7 +202,8 @@
 
 void SiblingService::receive(const Peer::PeerIdentity &peer, Peer::Body message)
 {
-    // Links run on strands of their own; the state of siblings belongs to the context's one thread.
+    // Links run on their own strands; the state of siblings belongs to the single thread of the
+    // context.
     if (const auto *delta = message.AsSharedDelta())
         return m_bridge.state().receive(delta->records);
     if (const auto *report = message.AsAdmissionReport())
@@ -270,7 +272,7 @@
             && m_reader->adoptFromSibling(document.generation, std::move(bytes)).value())
             Core::logEvent(Core::EventId::ConfigurationFromSibling, {{"sibling", address}});
     } catch (const Core::Error &) {
-        // The log or another sibling will tell.
+        // The log or another sibling will provide the document.
     }
     m_isFetching = false;
 }
@@ -297,7 +299,7 @@
         auto answer = co_await m_client->request(target, std::move(body), ClaimTimeout);
         reply = decodeClaimReply(Peer::takeReply<Peer::Wire::ClaimReplyT>(answer));
     } catch (const Core::Error &error) {
-        // Another process at the holder's address means that the holder's life is over.
+        // Another process at the holder's address means that the holder's incarnation has ended.
         if (error.kind() == Core::ErrorKind::PeerRejected)
             reply.state = Claims::HolderState::Gone;
     }
--- a/Libraries/LibSiblings/SiblingService.h
+++ b/Libraries/LibSiblings/SiblingService.h
@@ -20,34 +20,35 @@
 
 namespace Siblings {
 
-/// Where an instance is reached by its siblings, and the key they share.
+/// The address at which siblings reach an instance, and the key that they share.
 struct SiblingSettings
 {
     boost::asio::ip::tcp::endpoint listen;
     std::string key;
 };
 
-/// Keeps one instance in touch with its siblings: who lives, soft state, shares of limits, claims
-/// and documents. Everything runs on the one thread of its context, except where said otherwise.
+/// Connects one instance with its siblings: membership, shared soft state, shares of limits, claims
+/// and configuration documents. Everything runs on the single thread of its context, except where
+/// stated otherwise.
 class SiblingService
 {
 public:
-    /// The reader may be null. Throws Error(SettingsInvalid) when the port cannot be had. All
+    /// The reader may be null. Throws Error(SettingsInvalid) when the port cannot be opened. All
     /// arguments must outlive the service.
     SiblingService(boost::asio::io_context &context, const SiblingSettings &settings,
                    Router::Instance &instance, Configuration::ConfigurationReader *reader);
     ~SiblingService();
 
-    /// Starts to accept links and to probe.
+    /// Starts accepting links and probing.
     void start();
-    /// Tells siblings that this instance leaves. Safe from any thread.
+    /// Announces to siblings that this instance is leaving. Safe from any thread.
     void leave();
     boost::asio::ip::tcp::endpoint endpoint() const { return m_server->endpoint(); }
 
-    /// Takes the entry instances of the platform's list.
+    /// Updates the known siblings from the entry instances of the platform's list.
     void noteList(const Platform::InstanceList &list);
 
-    /// Asks the holder of a key what became of its attempt. Safe from any thread.
+    /// Queries the holder of a key for the state of its attempt. Safe from any thread.
     boost::asio::awaitable<Claims::HolderReply> askHolder(Claims::HolderQuery query);
 
     const Peer::PeerCounters &counters() const { return m_counters; }
@@ -60,7 +61,7 @@
     boost::asio::awaitable<void> runTimers();
     boost::asio::awaitable<void> warmUp();
     void sendAdmissionReports();
-    /// Sends what is most urgent to every sibling at once.
+    /// Sends the most valuable shared state to every sibling immediately.
     void broadcastUrgentState();
     void receive(const Peer::PeerIdentity &peer, Peer::Body message);
     boost::asio::awaitable<Peer::Body> answer(Peer::Body request);
--- a/Libraries/LibSiblings/WarmStart.cpp
+++ b/Libraries/LibSiblings/WarmStart.cpp
@@ -40,7 +40,8 @@
             const auto snapshot = Peer::takeReply<Peer::Wire::SnapshotT>(reply);
             m_probes.adopt(collector.add(snapshot, address, m_bridge.state()));
         } catch (const Core::Error &) {
-            // Another sibling may answer; without any, preferred upstreams come from hashing alone.
+            // Another sibling may answer. Without any snapshot, preferred upstreams are determined
+            // by hashing alone.
         }
     }
     co_return collector.result();
--- a/Libraries/LibSiblings/WarmStart.h
+++ b/Libraries/LibSiblings/WarmStart.h
@@ -12,7 +12,7 @@
 
 namespace Siblings {
 
-/// Asks a few siblings for their snapshots, until one that has run for long enough has answered.
+/// Requests snapshots from a few siblings until one that has run for long enough answers.
 class WarmStart
 {
 public:
@@ -20,7 +20,7 @@
     WarmStart(Peer::PeerClient &client, Membership::ProbeService &probes,
               SharedStateBridge &bridge);
 
-    /// Tries the addresses in turn. Returns how much the answers were worth.
+    /// Tries the addresses in turn. Returns how complete the collected state is.
     boost::asio::awaitable<Membership::WarmStartResult> run(std::vector<std::string> addresses);
 
 private:
--- a/Tests/LibMembership/FakeFleet.cpp
+++ b/Tests/LibMembership/FakeFleet.cpp
@@ -79,7 +79,7 @@
     auto &sender = nodes[from];
     sender.bytesSent += payload.size() + FrameBytes;
     ++sender.messagesSent;
-    // The last process that was started at an address has it.
+    // The process that was started last at an address receives its messages.
     const auto it = std::find_if(nodes.rbegin(), nodes.rend(), [&](const Node &node) {
         return node.running && node.service->self().address == address;
     });
@@ -104,7 +104,7 @@
         if (!node.running)
             continue;
         if (node.frozen) {
-            // The machine keeps what arrives until the process goes on.
+            // Messages to a frozen process stay queued until it resumes.
             deferred.push_back(std::move(delivery));
             continue;
         }
--- a/Tests/LibMembership/FakeFleet.h
+++ b/Tests/LibMembership/FakeFleet.h
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-/// Several membership services in one process over a fake transport that drops, delays and
-/// reorders encoded messages, under a clock moved by hand.
+/// Several membership services in one process over a fake transport that drops, delays and reorders
+/// encoded messages, with a manually advanced clock.
 class FakeFleet
 {
 public:
@@ -36,20 +36,20 @@
 
     explicit FakeFleet(std::uint64_t seed, Membership::MembershipSettings settings = {});
 
-    /// Starts a process and gives its number. Addresses look like "10.0.0.7:7000".
+    /// Starts a process and returns its index. Addresses look like "10.0.0.7:7000".
     std::size_t add(const std::string &instance, std::uint64_t incarnation,
                     const std::string &dataCentre, const std::string &address);
     /// Starts count instances, spread evenly over the data centres.
     void addMany(std::size_t count, std::size_t dataCentres);
     void kill(std::size_t node) { nodes[node].running = false; }
     void list(const std::vector<std::string> &addresses);
-    /// Lists every running process's address at every process.
+    /// Passes the addresses of all running processes to every process as the platform's list.
     void listAll();
     void run(std::chrono::milliseconds time);
 
-    /// How many running processes see the member as live.
+    /// Returns how many running processes see the member as live.
     std::size_t seenLiveBy(const Membership::MemberId &member) const;
-    /// Whether every running process sees all others as live, and nobody else.
+    /// Returns whether every running process sees exactly the other running processes as live.
     bool isComplete() const;
     std::size_t count(Membership::MemberChange change) const;
     Membership::MemberId id(std::size_t node) const { return nodes[node].service->self().id; }
@@ -57,10 +57,10 @@
 
     std::vector<Node> nodes;
     std::vector<Event> events;
-    /// The share of messages that get lost.
+    /// The share of messages that are lost.
     double loss = 0;
     std::chrono::milliseconds maxDelay {20};
-    /// Whether messages from one address to another are lost.
+    /// Returns whether messages from one process to another are lost.
     std::function<bool(std::size_t from, std::size_t to)> isCut;
 
 private:
--- a/Tests/LibMembership/TestMemberTable.cpp
+++ b/Tests/LibMembership/TestMemberTable.cpp
@@ -108,7 +108,7 @@
                            MemberState::Leaving);
         const auto estimate = Membership::encodedBytes(next);
         probe.updates.push_back(next);
-        // The first of them brings the vector itself.
+        // The first update also adds the vector itself.
         if (n > 0)
             CHECK(size() <= before + estimate + 8);
     }
--- a/Tests/LibMembership/TestProbeService.cpp
+++ b/Tests/LibMembership/TestProbeService.cpp
@@ -9,7 +9,7 @@
 
 constexpr auto Period = 1'000ms;
 
-/// Starts a fleet and runs it until everybody knows everybody.
+/// Starts a fleet and runs it until every member knows all others.
 void startAndConverge(FakeFleet &fleet, std::size_t count, std::size_t dataCentres)
 {
     fleet.addMany(count, dataCentres);
@@ -133,7 +133,7 @@
     fleet.maxDelay = 250ms;
     fleet.run(200 * Period);
     CHECK(fleet.count(MemberChange::Died) == 0);
-    // At most one suspicion a hundred probes; a suspicion is seen by all others.
+    // At most one suspicion per hundred probes; each suspicion is observed by all other members.
     const auto suspicions = fleet.count(MemberChange::Suspected) / 59;
     CHECK(suspicions <= 60 * 200 / 100);
 }
@@ -225,7 +225,8 @@
 
 TEST_CASE("a node's bytes keep to their share and do not grow with the fleet")
 {
-    // What the control budget of 12 KB a second leaves beside shared state, sent and received.
+    // The part of the control budget of 12 KB per second that remains after shared state, sent and
+    // received.
     constexpr double MaxBytesPerSecond = 6'144;
     std::vector<double> rates;
     for (const std::size_t count : {20, 80}) {
@@ -244,6 +245,6 @@
         CHECK(most <= MaxBytesPerSecond);
         rates.push_back(sum / static_cast<double>(count));
     }
-    // Names and addresses get a digit longer; that is all that may grow.
+    // Only names and addresses, which get one digit longer, may increase the traffic.
     CHECK(rates[1] <= rates[0] * 1.1);
 }
--- a/Tests/LibMembership/TestSharedState.cpp
+++ b/Tests/LibMembership/TestSharedState.cpp
@@ -45,7 +45,7 @@
     return seen;
 }
 
-/// Everything in the state, in an order of its own.
+/// Returns all records of the state as sorted byte strings.
 std::vector<std::string> sortedRecords(const SharedState &state)
 {
     std::vector<std::string> all;
@@ -205,7 +205,7 @@
         left.receive(other);
         sent += one.size() + other.size();
     }
-    // Two items at two instances, and one version more of each.
+    // Two items at two instances, with one additional version each.
     CHECK(sent <= 8 * settings.maxTransmissions);
     CHECK(sortedRecords(left) == sortedRecords(right));
 }
@@ -223,7 +223,7 @@
     SharedStatePublisher::Hooks hooks;
     hooks.siblings = [&sibling] { return std::vector<Member> {sibling}; };
     hooks.send = [&bytes](const std::string &, Peer::Body body) {
-        // The frame's length and tag come on top of the message.
+        // The frame adds its length field and authentication tag to the message.
         bytes += 20 + Peer::encodeMessage(Peer::Wire::Purpose::OneWay, 0, body).size();
     };
     SharedStatePublisher publisher(clock, rng, state, Core::DataCentreId("harju-1"), settings,
@@ -236,6 +236,6 @@
         publisher.tick();
     }
     CHECK(bytes <= (Seconds + 1) * settings.bytesPerSecond);
-    // A budget that holds no record sends nothing.
+    // A budget that is too small for one record sends nothing.
     CHECK((bytes >= Seconds * settings.bytesPerSecond / 2) == (settings.bytesPerSecond != 100));
 }
--- a/Tests/LibSiblings/TestSharedStateBridge.cpp
+++ b/Tests/LibSiblings/TestSharedStateBridge.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint64_t Prefix = 4711;
 
-/// An instance that knows one upstream from the list only, under the list's incarnation.
+/// An instance that knows one upstream only from the instance list, under the list's incarnation.
 struct Fixture
 {
     Core::ManualClock clock;
