--- a/Libraries/LibMembership/MembershipMessage.cpp
+++ b/Libraries/LibMembership/MembershipMessage.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-// An entry of the vector, the table's own offset, its numbers and three string offsets.
+// A vector entry, the table's own offset, its numeric fields and three string offsets.
 constexpr std::size_t FixedUpdateBytes = 48;
 
-/// A string's length field, its bytes and terminator, padded to four.
+/// Returns the encoded size of a string: length field, bytes and terminator, padded to a multiple
+/// of four.
 std::size_t encodedBytes(const std::string &text)
 {
     return sizeof(std::uint32_t) + (text.size() + sizeof(std::uint32_t)) / 4 * 4;
@@ -24,8 +25,8 @@
     return updates;
 }
 
-template <typename Table, typename Plain>
-Peer::Body probeOrAck(const Plain &message)
+template <typename Table, typename MessageType>
+Peer::Body makeProbeOrAckBody(const MessageType &message)
 {
     Table table;
     table.sequence = message.sequence;
@@ -34,7 +35,7 @@
     return Peer::makeBody(std::move(table));
 }
 
-template <typename Plain, typename Table>
+template <typename MessageType, typename Table>
 std::optional<Message> probeOrAckFromWire(const Table &table)
 {
     if (!table.sender)
@@ -42,7 +43,7 @@
     auto sender = fromWire(*table.sender);
     if (!sender)
         return std::nullopt;
-    return Plain {table.sequence, std::move(*sender), fromWire(table.updates)};
+    return MessageType {table.sequence, std::move(*sender), fromWire(table.updates)};
 }
 
 std::optional<Message> indirectFromWire(const Wire::IndirectProbeT &table)
@@ -58,8 +59,11 @@
 
 struct BodyMaker
 {
-    Peer::Body operator()(const Probe &probe) const { return probeOrAck<Wire::ProbeT>(probe); }
-    Peer::Body operator()(const Ack &ack) const { return probeOrAck<Wire::AckT>(ack); }
+    Peer::Body operator()(const Probe &probe) const
+    {
+        return makeProbeOrAckBody<Wire::ProbeT>(probe);
+    }
+    Peer::Body operator()(const Ack &ack) const { return makeProbeOrAckBody<Wire::AckT>(ack); }
     Peer::Body operator()(const IndirectProbe &probe) const
     {
         Wire::IndirectProbeT table;
--- a/Libraries/LibRouter/CompletionAttempt.cpp
+++ b/Libraries/LibRouter/CompletionAttempt.cpp
@@ -11,7 +11,7 @@
 constexpr unsigned StatusTooManyRequests = 429;
 constexpr unsigned StatusServiceUnavailable = 503;
 
-/// What an engine's refusal means for the call.
+/// Throws the error that corresponds to an engine's refusal.
 [[noreturn]] void throwRefusal(const Http::ClientExchange &answer)
 {
     const auto status = answer.status();
@@ -53,15 +53,15 @@
                                                AnswerProgress &progress)
 {
     Http::EventStreamParser events;
-    while (auto piece = co_await answer.readSome()) {
-        events.feed(*piece);
+    while (auto data = co_await answer.readSome()) {
+        events.feed(*data);
         while (auto event = events.next()) {
             if (event->data == "[DONE]")
                 continue;
             if (!event->kind.empty())
                 throw Core::Error(Core::ErrorKind::UpstreamFailed, "the upstream sent an error");
             const auto chunk = CompletionChunk::parse(event->data, attemptId).value();
-            co_await take(chunk, sink, progress);
+            co_await handleChunk(chunk, sink, progress);
             if (m_instance.clock().now() - m_context.arrivedAt > m_model.answerTimeout)
                 throw Core::Error(Core::ErrorKind::UpstreamTimedOut, "the answer takes too long");
             answer.setBodyTimeout(m_model.nextTokenTimeout);
@@ -71,15 +71,16 @@
         throw Core::Error(Core::ErrorKind::UpstreamFailed, "the stream ended before the answer");
 }
 
-asio::awaitable<void> CompletionAttempt::take(const CompletionChunk &chunk, AnswerSink &sink,
-                                              AnswerProgress &progress)
+asio::awaitable<void> CompletionAttempt::handleChunk(const CompletionChunk &chunk, AnswerSink &sink,
+                                                     AnswerProgress &progress)
 {
     const bool hasToken = !chunk.text().empty();
     const auto index = chunk.tokenIndex().value_or(progress.tokens);
     if (progress.isComplete && hasToken)
         throw Core::Error(Core::ErrorKind::UpstreamAnswerMalformed,
                           "a token after the answer's end");
-    // An engine that resumes from an earlier token than asked repeats what the caller has.
+    // An engine that resumes from an earlier token than requested repeats tokens that the caller
+    // already has.
     if (hasToken && index < progress.tokens)
         co_return;
     if (index > progress.tokens)
@@ -95,7 +96,7 @@
         progress.promptTokens = chunk.promptTokens();
     if (chunk.cachedTokens())
         progress.cachedTokens = chunk.cachedTokens();
-    co_await sink.take(chunk, progress.tokens);
+    co_await sink.writeChunk(chunk, progress.tokens);
     progress.isComplete = progress.isComplete || chunk.isLast();
 }
 
@@ -115,7 +116,7 @@
     Http::ClientTimeouts timeouts;
     timeouts.connect = m_instance.settings().connectTimeout;
     timeouts.head = m_model.firstTokenTimeout;
-    // Until the first token has come; engines may send the head of the answer before.
+    // Applies until the first token arrives; engines may send the head of the response before it.
     timeouts.body = m_model.firstTokenTimeout;
     return timeouts;
 }
--- a/Libraries/LibRouter/CompletionChunk.cpp
+++ b/Libraries/LibRouter/CompletionChunk.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-Core::Error garbage(const std::string &detail)
+Core::Error malformed(const std::string &detail)
 {
     return Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, detail);
 }
@@ -29,7 +29,8 @@
     return value ? value->if_object() : nullptr;
 }
 
-/// Engines put a prefix of their own before the id that they were given.
+/// Returns whether a chunk answers the given request. Engines prepend their own prefix to the
+/// request id.
 bool answersRequest(const json::object &body, std::string_view requestId)
 {
     const auto *id = body.if_contains("id");
@@ -44,11 +45,11 @@
     boost::system::error_code ec;
     auto parsed = json::parse(json::string_view(data), ec);
     if (ec || !parsed.is_object())
-        return garbage("a chunk is not a JSON object");
+        return malformed("a chunk is not a JSON object");
     CompletionChunk chunk;
     chunk.m_body = std::move(parsed.get_object());
     if (!answersRequest(chunk.m_body, requestId))
-        return garbage("a chunk answers another request");
+        return malformed("a chunk answers another request");
     try {
         chunk.readChoice();
         chunk.readUsage();
@@ -63,13 +64,13 @@
     m_tokenIndex = numberAt(m_body, "token_index");
     const auto *choices = m_body.if_contains("choices");
     if (!choices || !choices->is_array())
-        throw garbage("a chunk has no choices");
-    // A chunk with only the usage has an empty list.
+        throw malformed("a chunk has no choices");
+    // A chunk that contains only the usage has an empty list.
     if (choices->get_array().empty())
         return;
     const auto *choice = choices->get_array().front().if_object();
     if (!choice)
-        throw garbage("a chunk's choice is not an object");
+        throw malformed("a chunk's choice is not an object");
     const auto *delta = objectAt(*choice, "delta");
     const auto *text = delta ? delta->if_contains("content") : choice->if_contains("text");
     if (text && text->is_string())
@@ -96,7 +97,7 @@
     body["model"] = model;
     body.erase("token_index");
     if (auto *usage = body.if_contains("usage"); usage && usage->is_object()) {
-        // After a resume the engine counts only its own tokens.
+        // After a resume, the engine counts only its own tokens.
         usage->get_object()["completion_tokens"] = completionTokens;
         usage->get_object()["total_tokens"] = completionTokens + m_promptTokens.value_or(0);
     }
--- a/Libraries/LibRouter/CompletionRelay.h
+++ b/Libraries/LibRouter/CompletionRelay.h
@@ -11,8 +11,8 @@
 
 namespace Router {
 
-/// Answers one completion call: chooses engines one after the other until the answer is whole, and
-/// resumes a broken stream at the next one.
+/// Answers one completion call: tries engines one after the other until the answer is complete, and
+/// resumes an interrupted stream at the next engine.
 class CompletionRelay
 {
 public:
@@ -20,36 +20,38 @@
     CompletionRelay(Instance &instance, Http::ServerExchange &exchange, CallContext context,
                     CompletionCall call, const Configuration::Model &model);
 
-    /// Throws Core::Error for a refusal before anything ran.
+    /// Throws Core::Error when the call is refused before anything has run.
     boost::asio::awaitable<void> run();
 
 private:
-    /// What one attempt came to.
-    enum class Verdict {
+    /// The result of one attempt.
+    enum class AttemptOutcome {
         Complete,
         TryNext,
         GiveUp,
     };
 
-    /// Which upstreams a request may go to.
-    enum class Strictness {
-        /// Without failures of late, and a suspect request with no other suspect.
-        Apart,
-        /// Without failures of late.
+    /// Determines to which upstreams a request may be sent.
+    enum class UpstreamFilter {
+        /// Upstreams without recent failures; a suspect request shares none with another suspect
+        /// request.
+        Isolated,
+        /// Upstreams without recent failures.
         Healthy,
         AnyLive,
     };
 
-    boost::asio::awaitable<Verdict> tryEngines();
+    boost::asio::awaitable<AttemptOutcome> tryEngines();
     boost::asio::awaitable<AdmissionSlot> admit();
     Accounting::TokenCounts usedTokens() const;
     bool mayRetry();
-    boost::asio::awaitable<Verdict> attempt(UpstreamPtr upstream, Placement::Decision decision);
+    boost::asio::awaitable<AttemptOutcome> attempt(UpstreamPtr upstream,
+                                                   Placement::Decision decision);
     std::optional<Placement::Decision> choose(const UpstreamGroupView &group);
-    bool isPassedOver(const Upstream &upstream, Strictness strictness) const;
+    bool isSkipped(const Upstream &upstream, UpstreamFilter filter) const;
     CompletionAttempt::Options attemptOptions(const Placement::Decision &decision, bool &hasToken);
     void noteCrash(const Upstream &upstream, std::uint64_t incarnation);
-    Verdict noteFailure(Upstream &upstream, const Core::Error &error);
+    AttemptOutcome noteFailure(Upstream &upstream, const Core::Error &error);
     void noteSuccess(Upstream &upstream, const Placement::Decision &decision);
     void record(std::string_view outcome);
     Core::Error finalError() const;
@@ -63,7 +65,7 @@
     std::unique_ptr<AnswerSink> m_sink;
     AnswerProgress m_progress;
     std::vector<Placement::UpstreamSlot> m_tried;
-    /// The last failure, with the status of all attempts so far.
+    /// The last failure, with the execution status of all attempts so far.
     std::optional<Core::Error> m_lastError;
     Admission::Grant m_grant;
     bool m_isSuspect = false;
--- a/Libraries/LibRouter/DirectoryWatcher.h
+++ b/Libraries/LibRouter/DirectoryWatcher.h
@@ -9,8 +9,8 @@
 
 namespace Router {
 
-/// Reads the platform's instance list again and again. While the platform does not answer, what
-/// was known stays.
+/// Reads the platform's instance list periodically. While the platform does not answer, the last
+/// known list stays in use.
 class DirectoryWatcher
 {
 public:
@@ -28,7 +28,7 @@
     Instance &m_instance;
     Platform::InstanceDirectory &m_platform;
     ListHook m_listRead;
-    bool m_isAnswering = true;
+    bool m_isPlatformAvailable = true;
 };
 
 } // namespace Router
--- a/Libraries/LibSiblings/SiblingService.cpp
+++ b/Libraries/LibSiblings/SiblingService.cpp
@@ -21,11 +21,11 @@
 namespace {
 
 constexpr std::chrono::milliseconds TickPeriod {50};
-/// Admission reports and observations go out once in this many ticks.
+/// Admission reports and observations are sent once in this many ticks.
 constexpr unsigned TicksPerReport = 4;
 constexpr std::chrono::milliseconds ClaimTimeout {500};
 constexpr std::chrono::milliseconds DocumentTimeout {2'000};
-constexpr std::size_t AnnouncementBytes = 512;
+constexpr std::size_t UrgentBroadcastBytes = 512;
 constexpr std::size_t SnapshotLimitBytes = 256 * 1024;
 
 Peer::PeerAddress peerAddress(const std::string &address)
@@ -43,9 +43,9 @@
     : m_context(context)
     , m_instance(instance)
     , m_reader(reader)
-    , m_started(instance.clock().now())
+    , m_startedAt(instance.clock().now())
     , m_settings(peerSettings(settings))
-    , m_bridge(instance, [this](std::uint64_t) { fetchDocumentSomewhere(); })
+    , m_bridge(instance, [this](std::uint64_t) { fetchDocumentFromRandomSibling(); })
 {
     m_settings.check();
     m_server =
@@ -106,7 +106,7 @@
 void SiblingService::start()
 {
     m_server->start();
-    m_instance.setCrashHook([this] { asio::post(m_context, [this] { announce(); }); });
+    m_instance.setCrashHook([this] { asio::post(m_context, [this] { broadcastUrgentState(); }); });
     asio::co_spawn(m_context, runTimers(), asio::detached);
     asio::co_spawn(m_context, warmUp(), asio::detached);
 }
@@ -152,7 +152,8 @@
 
 asio::awaitable<void> SiblingService::warmUp()
 {
-    // Siblings are known once the platform's list was read or one of them has probed us.
+    // Siblings become known when the platform's instance list is read or when one of them sends a
+    // probe.
     asio::steady_timer timer(co_await asio::this_coro::executor);
     for (unsigned n = 0; n < 100 && otherMembers().empty(); ++n) {
         timer.expires_after(TickPeriod);
@@ -164,23 +165,23 @@
     WarmStart warmStart(*m_client, *m_probes, m_bridge);
     co_await warmStart.run(std::move(addresses));
     if (m_instance.configuration().generation == 0)
-        fetchDocumentSomewhere();
+        fetchDocumentFromRandomSibling();
 }
 
 void SiblingService::sendAdmissionReports()
 {
-    // FIXME: With hundreds of instances a report to each exceeds the control budget; shares would
-    // then be planned within a data centre and between a few delegates.
+    // FIXME: With hundreds of instances, a report to each of them exceeds the control budget;
+    // shares would then have to be planned within a data centre and between a few delegates.
     for (const auto &member : otherMembers()) {
         const auto report = m_instance.admission().report(member.id.instance);
         m_client->send(peerAddress(member.address), encodeAdmissionReport(report));
     }
 }
 
-void SiblingService::announce()
+void SiblingService::broadcastUrgentState()
 {
     m_bridge.publish();
-    const auto records = m_bridge.state().pack(AnnouncementBytes);
+    const auto records = m_bridge.state().pack(UrgentBroadcastBytes);
     if (records.empty())
         return;
     for (const auto &member : otherMembers()) {
@@ -201,7 +202,8 @@
 
 void SiblingService::receive(const Peer::PeerIdentity &peer, Peer::Body message)
 {
-    // Links run on strands of their own; the state of siblings belongs to the context's one thread.
+    // Links run on their own strands; the state of siblings belongs to the single thread of the
+    // context.
     if (const auto *delta = message.AsSharedDelta())
         return m_bridge.state().receive(delta->records);
     if (const auto *report = message.AsAdmissionReport())
@@ -228,10 +230,11 @@
 
 Peer::Body SiblingService::answerSnapshot(const Peer::Wire::SnapshotRequestT &request) const
 {
-    const auto uptime =
-        std::chrono::duration_cast<std::chrono::milliseconds>(m_instance.clock().now() - m_started);
-    return Peer::makeBody(Membership::makeSnapshot(
-        m_bridge.basis(), m_probes->live(), m_bridge.state(), uptime, request, SnapshotLimitBytes));
+    const auto uptime = std::chrono::duration_cast<std::chrono::milliseconds>(
+        m_instance.clock().now() - m_startedAt);
+    return Peer::makeBody(Membership::makeSnapshot(m_bridge.snapshotContext(), m_probes->live(),
+                                                   m_bridge.state(), uptime, request,
+                                                   SnapshotLimitBytes));
 }
 
 Peer::Body SiblingService::answerDocument() const
@@ -245,7 +248,7 @@
     return Peer::makeBody(std::move(reply));
 }
 
-void SiblingService::fetchDocumentSomewhere()
+void SiblingService::fetchDocumentFromRandomSibling()
 {
     const auto members = otherMembers();
     if (members.empty() || m_isFetching || !m_reader)
@@ -269,7 +272,7 @@
             && m_reader->adoptFromSibling(document.generation, std::move(bytes)).value())
             Core::logEvent(Core::EventId::ConfigurationFromSibling, {{"sibling", address}});
     } catch (const Core::Error &) {
-        // The log or another sibling will tell.
+        // The log or another sibling will provide the document.
     }
     m_isFetching = false;
 }
@@ -296,7 +299,7 @@
         auto answer = co_await m_client->request(target, std::move(body), ClaimTimeout);
         reply = decodeClaimReply(Peer::takeReply<Peer::Wire::ClaimReplyT>(answer));
     } catch (const Core::Error &error) {
-        // Another process at the holder's address means that the holder's life is over.
+        // Another process at the holder's address means that the holder's incarnation has ended.
         if (error.kind() == Core::ErrorKind::PeerRejected)
             reply.state = Claims::HolderState::Gone;
     }
--- a/Libraries/LibSiblings/WarmStart.cpp
+++ b/Libraries/LibSiblings/WarmStart.cpp
@@ -8,7 +8,7 @@
 constexpr std::chrono::milliseconds WarmUptime {30'000};
 constexpr std::chrono::milliseconds SnapshotTimeout {1'000};
 constexpr std::uint32_t SnapshotBytes = 256 * 1024;
-constexpr std::size_t SiblingsAsked = 3;
+constexpr std::size_t MaxSiblingsAsked = 3;
 
 } // namespace
 
@@ -19,16 +19,17 @@
     , m_bridge(bridge)
 { }
 
-boost::asio::awaitable<Membership::WarmStart> WarmStart::run(std::vector<std::string> addresses)
+boost::asio::awaitable<Membership::WarmStartResult>
+WarmStart::run(std::vector<std::string> addresses)
 {
-    Membership::SnapshotCollector collector(m_bridge.basis(), WarmUptime);
-    if (addresses.size() > SiblingsAsked)
-        addresses.resize(SiblingsAsked);
+    Membership::SnapshotCollector collector(m_bridge.snapshotContext(), WarmUptime);
+    if (addresses.size() > MaxSiblingsAsked)
+        addresses.resize(MaxSiblingsAsked);
     for (const auto &address : addresses) {
         if (collector.isDone())
             break;
         Peer::Wire::SnapshotRequestT request;
-        request.environment = m_bridge.basis().environment;
+        request.environment = m_bridge.snapshotContext().environment;
         request.version = Membership::SnapshotVersion;
         request.max_bytes = SnapshotBytes;
         try {
@@ -39,7 +40,8 @@
             const auto snapshot = Peer::takeReply<Peer::Wire::SnapshotT>(reply);
             m_probes.adopt(collector.add(snapshot, address, m_bridge.state()));
         } catch (const Core::Error &) {
-            // Another sibling may answer; without any, preferred upstreams come from hashing alone.
+            // Another sibling may answer. Without any snapshot, preferred upstreams are determined
+            // by hashing alone.
         }
     }
     co_return collector.result();
