--- a/Libraries/LibGateway/AcceptedRequest.cpp
+++ b/Libraries/LibGateway/AcceptedRequest.cpp
@@ -34,7 +34,7 @@
     const auto now = gateway.dependencies().clock.now();
     configuration = state.current();
     if (!configuration)
-        return Refusal {Core::ErrorKind::NotReady, "no configuration is known yet",
+        return Refusal {Core::ErrorKind::NotReady, "no configuration has been received yet",
                         ShortRetryAfter};
     // A missing route or key may have been added since the last read, so the request is rejected as
     // unknown only while the configuration is up to date.
@@ -45,19 +45,24 @@
     const auto &target = request.target;
     route = configuration->findRoute(caller.host, target.substr(0, target.find('?')));
     if (!route)
-        return isUpToDate ? Refusal {Core::ErrorKind::UnknownRoute, "no route matches", {}}
+        return isUpToDate ? Refusal {Core::ErrorKind::UnknownRoute,
+                                     "no route matches the host and path",
+                                     {}}
                           : outOfDate;
     tenant = configuration->findTenant(caller.key);
     if (!route->isPublic && !configuration->tenants.empty()) {
         if (!gateway.hasUpToDateKeys())
             return outOfDate;
         if (!tenant)
-            return isUpToDate ? Refusal {Core::ErrorKind::Unauthenticated, "unknown key", {}}
-                              : outOfDate;
+            return isUpToDate
+                       ? Refusal {Core::ErrorKind::Unauthenticated, "the API key is unknown", {}}
+                       : outOfDate;
     }
     digest = requestDigest(target, tenantName(), request.body);
     if (gateway.poison().isPoison(digest, now))
-        return Refusal {Core::ErrorKind::PoisonRequest, "broke several upstreams", {}};
+        return Refusal {Core::ErrorKind::PoisonRequest,
+                        "several upstreams failed while they executed this request",
+                        {}};
     deadline = arrival + std::min(caller.callerTimeout.value_or(route->timeout), route->timeout);
     parts.clear();
     std::uint64_t prefixHash = Core::hash64(cacheScope(), Core::hash64(caller.model));
--- a/Libraries/LibGateway/GatewayMetrics.h
+++ b/Libraries/LibGateway/GatewayMetrics.h
@@ -20,19 +20,19 @@
     Metrics::Counter requests {"jujube_gateway_requests_total", "Requests by outcome.", "outcome"};
     Metrics::Counter refusals {"jujube_gateway_refusals_total",
                                "Requests refused by this instance, by reason.", "reason"};
-    Metrics::Counter attempts {"jujube_gateway_attempts_total", "Attempts by how they ended.",
-                               "end"};
+    Metrics::Counter attempts {"jujube_gateway_attempts_total", "Attempts by outcome.", "end"};
     Metrics::Counter promptTokens {"jujube_gateway_prompt_tokens_total",
-                                   "Prompt tokens sent to engines."};
+                                   "Prompt tokens of requests sent to engines."};
     Metrics::Counter cachedTokens {"jujube_gateway_kept_tokens_total",
-                                   "Of them, tokens that the engine was believed to keep."};
+                                   "Prompt tokens estimated to be in the engine's prefix cache."};
     Metrics::Counter orders {"jujube_gateway_orders_total", "Orders to engines by outcome.",
                              "outcome"};
-    Metrics::DurationHistogram firstByte {"jujube_gateway_first_byte_seconds",
-                                          "Time from a request's arrival to its answer's start."};
+    Metrics::DurationHistogram firstByte {
+        "jujube_gateway_first_byte_seconds",
+        "Time from the arrival of a request to the start of its answer."};
     Metrics::DurationHistogram expectedFirst {
         "jujube_gateway_expected_first_token_seconds",
-        "Time to the first token that was expected when an engine was chosen."};
+        "Expected time to the first token when the engine was chosen."};
 
     /// Registers a gauge whose values are read at each scrape.
     void addGauge(std::string name, std::string help, std::string labelName,
--- a/Libraries/LibGateway/RequestPlan.cpp
+++ b/Libraries/LibGateway/RequestPlan.cpp
@@ -85,7 +85,8 @@
     const auto retryAfter = choice.expectedFirst - route.target;
     const auto expected = static_cast<std::uint64_t>(choice.expectedFirst.count());
     return Refusal {Core::ErrorKind::Overloaded,
-                    "first token expected in " + std::to_string(expected) + " ms",
+                    "the expected time to the first token, " + std::to_string(expected)
+                        + " ms, is too long",
                     std::max<milliseconds>(MinRetryAfter, duration_cast<milliseconds>(retryAfter))};
 }
 
@@ -110,7 +111,8 @@
     auto chosen = chooseEngine(gateway.dependencies().fleet.members(service.name),
                                gateway.engineModel(service.name), demand, limits);
     if (!chosen)
-        return Refusal {Core::ErrorKind::NoUpstream, "no engine of " + service.name + " is free",
+        return Refusal {Core::ErrorKind::NoUpstream,
+                        "no engine of service " + service.name + " accepts requests",
                         ShortRetryAfter};
     if (auto refusal = refuseIfTooSlow(request, *chosen, limits.now))
         return std::move(*refusal);
@@ -144,7 +146,8 @@
                                                const std::set<Core::UpstreamId> &excluded)
 {
     if (request.route->services.empty())
-        return Refusal {Core::ErrorKind::NoUpstream, "the route has no service", {}};
+        return Refusal {
+            Core::ErrorKind::NoUpstream, "route " + request.route->name + " has no services", {}};
     const auto name = pickService(gateway, *request.route);
     const auto *service = request.configuration->findService(name);
     if (!service)
@@ -162,8 +165,8 @@
     plan.upstream =
         chooseService(gateway.dependencies().fleet.members(name), limits, gateway.random());
     if (!plan.upstream)
-        return Refusal {Core::ErrorKind::NoUpstream, "no upstream of " + name + " is free",
-                        ShortRetryAfter};
+        return Refusal {Core::ErrorKind::NoUpstream,
+                        "no upstream of service " + name + " accepts requests", ShortRetryAfter};
     return plan;
 }
 
--- a/Libraries/LibGateway/RequestRelay.cpp
+++ b/Libraries/LibGateway/RequestRelay.cpp
@@ -65,7 +65,8 @@
 {
     auto refusal = m_request.decode(m_gateway.dependencies().dialect, m_exchange.request());
     if (!refusal && m_gateway.isRefusing())
-        refusal = Refusal {Core::ErrorKind::Draining, "the instance ends", MinRetryAfter};
+        refusal =
+            Refusal {Core::ErrorKind::Draining, "the instance is shutting down", MinRetryAfter};
     if (!refusal)
         refusal = m_request.authorize(m_gateway, m_exchange.request());
     if (refusal) {
@@ -334,8 +335,8 @@
                        {{"upstream", m_plan->upstream->report().id.value()},
                         {"request", m_request.caller.attemptId},
                         {"answered", head.attemptId}});
-        co_return noteInterrupted(
-            Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "another's answer"));
+        co_return noteInterrupted(Core::Error(Core::ErrorKind::UpstreamAnswerMalformed,
+                                              "the answer belongs to another request"));
     }
     std::optional<Core::Error> failure;
     try {
@@ -353,8 +354,8 @@
         auto headers = Http::withoutConnectionFields(answer.headers());
         const bool isSuccess = answer.status() < 300;
         if (!head.isSealed)
-            co_return noteInterrupted(
-                Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "no seal"));
+            co_return noteInterrupted(Core::Error(Core::ErrorKind::UpstreamAnswerMalformed,
+                                                  "the answer has no seal header"));
         if (isSuccess && m_request.route->kind == RequestKind::Stream)
             co_return co_await relayStream(answer, std::move(headers), load);
         co_return co_await relayWhole(answer, std::move(headers));
@@ -377,7 +378,7 @@
 {
     const auto now = m_gateway.dependencies().clock.now();
     noteAttempt(head.isOtherUpstream ? "other_upstream" : "not_run",
-                std::to_string(status) + " from " + head.upstream.value() + ", believed weights "
+                std::to_string(status) + " from " + head.upstream.value() + ", expected weights "
                     + text(m_plan->upstream->weights(m_request.caller.model)));
     if (head.isOtherUpstream && head.upstream != m_plan->upstream->report().id) {
         // Another incarnation uses the address; the list entry of the previous one has not expired
@@ -405,7 +406,8 @@
         response.body += *chunk;
         if (response.body.size() > AnswerLimitBytes)
             co_return noteInterrupted(
-                Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "too large"));
+                Core::Error(Core::ErrorKind::UpstreamAnswerMalformed,
+                            "the answer body exceeds " + text(AnswerLimitBytes) + " bytes"));
     }
     if (response.status >= 500) {
         noteAttempt("failed", std::to_string(response.status));
@@ -437,8 +439,8 @@
         co_await m_exchange.write(events);
     }
     if (m_events.hasPartialEvent())
-        co_return noteInterrupted(
-            Core::Error(Core::ErrorKind::UpstreamFailed, "ended amid an event"));
+        co_return noteInterrupted(Core::Error(Core::ErrorKind::UpstreamFailed,
+                                              "the stream ended in the middle of an event"));
     if (!m_exchange.hasStarted())
         co_await m_exchange.startStream(answer.status(), headers);
     co_await m_exchange.finishStream();
@@ -502,10 +504,12 @@
     }
     if (!m_mayHaveExecuted) {
         // A named object, because GCC 12 destroys aggregate temporaries of a co_await twice.
-        Refusal refusal {Core::ErrorKind::NoUpstream, "no upstream took the request",
+        Refusal refusal {Core::ErrorKind::NoUpstream, "no upstream accepted the request",
                          ShortRetryAfter};
         if (m_cancelReason == CancelReason::DeadlineExpired)
-            refusal = {Core::ErrorKind::DeadlineUnreachable, "time is over", std::nullopt};
+            refusal = {Core::ErrorKind::DeadlineUnreachable,
+                       "the deadline expired before an upstream accepted the request",
+                       std::nullopt};
         co_await refuse(refusal);
         co_return;
     }
@@ -519,7 +523,7 @@
                     {"upstream", m_plan->upstream->report().id.value()},
                     {"outcome", std::string(Core::errorKindRow(kind).name)},
                     {"sends", text(m_progress.sends)}});
-    co_await respondError(kind, "the upstream did not answer", {});
+    co_await respondError(kind, "the upstream did not return a complete answer", {});
 }
 
 asio::awaitable<void> RequestRelay::refuse(const Refusal &refusal)
--- a/Tests/LibGateway/TestConfiguration.cpp
+++ b/Tests/LibGateway/TestConfiguration.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("the longest prefix of a host's routes decides, whatever their order")
+TEST_CASE("the route with the longest matching prefix is chosen, whatever the order")
 {
     Gateway::GatewayConfiguration configuration;
     configuration.routes = {route("a.example", "/x/"), route("a.example", "/x/y/"),
@@ -40,7 +40,7 @@
     CHECK(configuration.findRoute("c.example", "/x/") == nullptr);
 }
 
-TEST_CASE("a key belongs to one team, and unknown keys to none")
+TEST_CASE("a key belongs to one team, and an unknown key to none")
 {
     Gateway::GatewayConfiguration configuration;
     configuration.tenants = {{"liit", {"k1", "k2"}, std::nullopt, false},
@@ -52,7 +52,7 @@
     CHECK(configuration.findTenant("k4") == nullptr);
 }
 
-TEST_CASE("only routes whose kind allows it may run again")
+TEST_CASE("only requests of repeatable or resumable routes may run again")
 {
     Gateway::Route route;
     route.kind = Gateway::RequestKind::Once;
@@ -66,7 +66,8 @@
     CHECK(route.mayRunAgain());
 }
 
-TEST_CASE("a configuration never goes back, and its age counts from when it was asked for")
+TEST_CASE(
+    "the configuration version never decreases, and its age counts from the start of the read")
 {
     Core::ManualClock clock;
     Gateway::ConfigurationState state;
@@ -84,7 +85,7 @@
     CHECK(state.age(clock.now()) == 3s);
 }
 
-TEST_CASE("weights are outdated since the first newer version was named, not the newest")
+TEST_CASE("weights are outdated since the first newer target was added, not the newest")
 {
     Core::ManualClock clock;
     Gateway::WeightsTargets targets;
--- a/Tests/LibGateway/TestMemory.cpp
+++ b/Tests/LibGateway/TestMemory.cpp
@@ -10,7 +10,7 @@
 using namespace std::chrono_literals;
 using Gateway::PromptPart;
 
-TEST_CASE("parts count as kept only together with all parts before them")
+TEST_CASE("parts count as cached only together with all parts before them")
 {
     Gateway::PrefixCacheEstimate prefixCache;
     prefixCache.setCapacity(1'000);
@@ -24,7 +24,8 @@
     CHECK(prefixCache.tokens() == 0);
 }
 
-TEST_CASE("the least recently used parts go first, and never before those that build on them")
+TEST_CASE(
+    "the least recently used parts are evicted first, and never before the parts that follow them")
 {
     Gateway::PrefixCacheEstimate prefixCache;
     prefixCache.setCapacity(500);
@@ -40,7 +41,7 @@
     CHECK(prefixCache.cachedTokens(fresh) == 0);
 }
 
-TEST_CASE("the store of parts is believed only while it answers, and is empty in another life")
+TEST_CASE("a KV cache store counts only while it answers, and is empty after a restart")
 {
     Gateway::KvCacheStore store(Http::parseEndpoint("127.0.0.1:9").value());
     store.setCapacity(10'000);
@@ -60,7 +61,7 @@
     CHECK(store.storedTokens(parts, 3) == 0);
 }
 
-TEST_CASE("each session's parts go to one of several stores, and to another while it is away")
+TEST_CASE("each session uses one of several stores, and another while that one does not answer")
 {
     Core::ManualClock clock;
     clock.advance(1h);
@@ -94,7 +95,7 @@
     CHECK(stores.storeFor(1)->holder() == first);
 }
 
-TEST_CASE("a store that stays configured keeps what is known of it")
+TEST_CASE("a store that stays configured keeps its cache estimate")
 {
     Core::ManualClock clock;
     Gateway::KvCacheStores stores;
@@ -110,7 +111,7 @@
     CHECK(stores.storeFor(1) == nullptr);
 }
 
-TEST_CASE("a snapshot of beliefs is taken over by an instance that starts")
+TEST_CASE("a starting instance applies a snapshot of the cache estimates")
 {
     const auto report = [](const std::string &id, std::uint64_t weights, std::int64_t startTime) {
         Gateway::UpstreamReport upstream;
@@ -161,7 +162,8 @@
           == 0);
 }
 
-TEST_CASE("a snapshot of a large fleet fits a record of the log and holds the newest parts of each")
+TEST_CASE(
+    "a snapshot of a large fleet fits into a log record and has the newest parts of each engine")
 {
     Gateway::UpstreamFleet fleet;
     for (int n = 0; n < 100; ++n) {
--- a/Tests/LibGateway/TestPlacement.cpp
+++ b/Tests/LibGateway/TestPlacement.cpp
@@ -66,7 +66,7 @@
 
 } // namespace
 
-TEST_CASE("the requests of a session go to one engine, on every instance alike")
+TEST_CASE("all instances send the requests of a session to the same engine")
 {
     Fixture one;
     Fixture other;
@@ -79,7 +79,7 @@
     CHECK(preferredUpstreams.size() == 6);
 }
 
-TEST_CASE("an engine that keeps the shared parts is preferred, until it has much more to read")
+TEST_CASE("an engine that has cached the shared parts is preferred until its queue is much longer")
 {
     Fixture fixture;
     auto &cachedEngine = fixture.engine(fixture.chosen() == "w0" ? "w1" : "w0");
@@ -94,7 +94,8 @@
     CHECK(alternative->readyTokens == 5'000);
 }
 
-TEST_CASE("parts that nobody is known to keep are asked for at the session's home, or the store")
+TEST_CASE(
+    "parts that no engine is known to have are fetched from the preferred engine or the store")
 {
     Fixture fixture;
     const auto preferred = fixture.chosen();
@@ -117,7 +118,8 @@
     CHECK_FALSE(fixture.choose()->source);
 }
 
-TEST_CASE("the home is not asked for parts when it has other weights or fails its requests")
+TEST_CASE(
+    "parts are not fetched from a preferred engine that has other weights or fails its requests")
 {
     Fixture fixture;
     const auto preferred = fixture.chosen();
@@ -149,7 +151,7 @@
     CHECK_FALSE(other.choose()->source);
 }
 
-TEST_CASE("nothing new goes to engines that drain, are held, full, gone or long outdated")
+TEST_CASE("draining, paused, full and long outdated engines receive no new requests")
 {
     Fixture fixture;
     const auto first = fixture.chosen();
@@ -177,7 +179,7 @@
     CHECK(fixture.chosen() == "new");
 }
 
-TEST_CASE("urgent prompts are judged by the urgent ones before them, others by all")
+TEST_CASE("urgent prompts wait only for urgent ones ahead of them, others for all")
 {
     Fixture fixture;
     for (const auto &member : fixture.fleet.members("llm"))
@@ -188,7 +190,7 @@
     CHECK(urgent < notUrgent / 2);
 }
 
-TEST_CASE("what siblings sent counts like what this instance sent")
+TEST_CASE("load from siblings counts like load from this instance")
 {
     Fixture fixture;
     const auto first = fixture.chosen();
@@ -196,7 +198,7 @@
     CHECK(fixture.chosen() != first);
 }
 
-TEST_CASE("an engine that fails its requests is left, and tried again after a while")
+TEST_CASE("a failing engine is avoided, and tried again after a while")
 {
     Fixture fixture;
     const auto first = fixture.chosen();
@@ -207,7 +209,7 @@
     CHECK(fixture.chosen() == first);
 }
 
-TEST_CASE("plain services share requests by load, and failing ones are left")
+TEST_CASE("requests without a prompt are spread by load, and failing upstreams are avoided")
 {
     Fixture fixture;
     std::minstd_rand random(1);
@@ -226,7 +228,7 @@
               != Core::UpstreamId("w3"));
 }
 
-TEST_CASE("the reading rate follows the faster answers, and short prompts teach nothing")
+TEST_CASE("the prefill rate follows the faster answers, and short prompts are ignored")
 {
     EngineModel model;
     const auto before = model.tokensPerMillisecond();
@@ -241,7 +243,7 @@
     CHECK(model.tokensPerMillisecond() < 90);
 }
 
-TEST_CASE("a team's priority goes before its route's, and what can be in time before what is late")
+TEST_CASE("a team's priority overrides its route's, and requests in time precede late ones")
 {
     Gateway::Route first;
     first.priority = 0;
--- a/Tests/LibGateway/TestRetries.cpp
+++ b/Tests/LibGateway/TestRetries.cpp
@@ -9,7 +9,7 @@
 
 using namespace std::chrono_literals;
 
-TEST_CASE("repeats of all instances stay within the bound in every window, under failing upstreams")
+TEST_CASE("retries of all instances stay within the limit in every window while upstreams fail")
 {
     // Every request fails and is retried, which is the maximum demand on the budget.
     constexpr unsigned Instances = 8;
@@ -42,7 +42,7 @@
     }
 }
 
-TEST_CASE("an instance alone may use what is left of the slack")
+TEST_CASE("a single instance may use most of the slack")
 {
     Core::ManualClock clock;
     clock.advance(1h);
@@ -56,7 +56,7 @@
     CHECK(share.tryRepeat({0.2, 52, 10s}, 1, clock.now()));
 }
 
-TEST_CASE("an instance that does not know the members has no part of the slack")
+TEST_CASE("an instance that does not know the number of members gets no slack")
 {
     Core::ManualClock clock;
     clock.advance(1h);
@@ -67,7 +67,8 @@
     CHECK(share.tryRepeat({0.2, 52, 10s}, std::nullopt, clock.now()));
 }
 
-TEST_CASE("a request is poison after three breaks, another request is not, and memory is bounded")
+TEST_CASE(
+    "a request is poison after three upstream failures, others are not, and the table is bounded")
 {
     Core::ManualClock clock;
     Gateway::PoisonRequestTable table;
