--- a/Libraries/LibGateway/GatewayDaemon.cpp
+++ b/Libraries/LibGateway/GatewayDaemon.cpp
@@ -224,7 +224,7 @@
     server.requestTime = limits.headerTime;
     server.idleTime = limits.idleTime;
     m_callers->setLimits(server);
-    std::vector<KvCacheStores::Place> stores;
+    std::vector<KvCacheStores::StoreConfiguration> stores;
     for (const auto &[name, service] : m_configuration.current()->services) {
         if (service.kvCacheStore)
             stores.push_back({*service.kvCacheStore, service.kvCacheStoreTokens});
--- a/Libraries/LibGateway/KvCacheStore.h
+++ b/Libraries/LibGateway/KvCacheStore.h
@@ -16,7 +16,7 @@
 {
 public:
     /// Prompts that share fewer tokens are read sooner than the store's room for them is worth.
-    static constexpr unsigned LeastTokens = 1'000;
+    static constexpr unsigned MinTokens = 1'000;
 
     explicit KvCacheStore(Http::Endpoint endpoint);
 
--- a/Libraries/LibGateway/KvCacheStores.cpp
+++ b/Libraries/LibGateway/KvCacheStores.cpp
@@ -5,7 +5,7 @@
 
 namespace Gateway {
 
-void KvCacheStores::configure(const std::vector<Place> &places)
+void KvCacheStores::configure(const std::vector<StoreConfiguration> &places)
 {
     Stores stores;
     for (const auto &place : places) {
--- a/Libraries/LibGateway/KvCacheStores.h
+++ b/Libraries/LibGateway/KvCacheStores.h
@@ -13,7 +13,7 @@
 class KvCacheStores
 {
 public:
-    struct Place
+    struct StoreConfiguration
     {
         Http::Endpoint endpoint;
         std::uint64_t capacityTokens = 0;
@@ -22,7 +22,7 @@
     using Stores = std::map<std::uint64_t, KvCacheStore>;
 
     /// Sets which stores there are. Those that stay keep what is known of them.
-    void configure(const std::vector<Place> &places);
+    void configure(const std::vector<StoreConfiguration> &places);
     /// The store for a session's parts, among those that answer; null when none does.
     KvCacheStore *storeFor(std::uint64_t sessionKey);
     /// Null when no such store is configured.
--- a/Libraries/LibGateway/RequestPlan.cpp
+++ b/Libraries/LibGateway/RequestPlan.cpp
@@ -94,7 +94,7 @@
         return false;
     const std::span shared(request.parts.data(), request.parts.size() - 1);
     const auto tokens = totalTokens(shared);
-    return tokens >= KvCacheStore::LeastTokens && store.storedTokens(shared, weights) < tokens;
+    return tokens >= KvCacheStore::MinTokens && store.storedTokens(shared, weights) < tokens;
 }
 
 std::variant<RequestPlan, Refusal> planEngine(Gateway &gateway, const AcceptedRequest &request,
--- a/Libraries/LibGateway/UpstreamChooser.cpp
+++ b/Libraries/LibGateway/UpstreamChooser.cpp
@@ -135,7 +135,7 @@
         && preferred->failureShare(limits.now) <= MostSourceFailures;
     if (isRemote)
         choice.source = preferred;
-    else if (demand.store && demand.sharedTokens >= KvCacheStore::LeastTokens)
+    else if (demand.store && demand.sharedTokens >= KvCacheStore::MinTokens)
         choice.isFromStore = true;
     choice.isGuess = choice.source || choice.isFromStore;
 }
--- a/Tests/LibGateway/TestMemory.cpp
+++ b/Tests/LibGateway/TestMemory.cpp
@@ -66,7 +66,7 @@
     clock.advance(1h);
     Gateway::KvCacheStores stores;
     CHECK(stores.storeFor(1) == nullptr);
-    std::vector<Gateway::KvCacheStores::Place> places;
+    std::vector<Gateway::KvCacheStores::StoreConfiguration> places;
     for (int n = 1; n <= 3; ++n)
         places.push_back(
             {Http::parseEndpoint("10.0.0." + std::to_string(n) + ":9").value(), 9'000});
@@ -98,8 +98,10 @@
 {
     Core::ManualClock clock;
     Gateway::KvCacheStores stores;
-    const Gateway::KvCacheStores::Place one {Http::parseEndpoint("10.0.0.1:9").value(), 9'000};
-    const Gateway::KvCacheStores::Place other {Http::parseEndpoint("10.0.0.2:9").value(), 9'000};
+    const Gateway::KvCacheStores::StoreConfiguration one {Http::parseEndpoint("10.0.0.1:9").value(),
+                                                          9'000};
+    const Gateway::KvCacheStores::StoreConfiguration other {
+        Http::parseEndpoint("10.0.0.2:9").value(), 9'000};
     stores.configure({one});
     stores.noteAnswer(Gateway::KvCacheStore::holderOf(one.endpoint), 5, clock.now());
     const std::vector<PromptPart> parts {{1, 100}};
@@ -121,7 +123,8 @@
         return upstream;
     };
     const std::vector<PromptPart> parts {{1, 100}, {2, 200}};
-    const Gateway::KvCacheStores::Place place {Http::parseEndpoint("10.0.0.1:9").value(), 9'000};
+    const Gateway::KvCacheStores::StoreConfiguration place {
+        Http::parseEndpoint("10.0.0.1:9").value(), 9'000};
     const auto holder = Gateway::KvCacheStore::holderOf(place.endpoint);
     Core::ManualClock clock;
     Gateway::UpstreamFleet fleet;
--- a/Tests/LibGateway/TestSiblings.cpp
+++ b/Tests/LibGateway/TestSiblings.cpp
@@ -141,7 +141,7 @@
 {
     Instance one("one");
     Instance other("other");
-    const Gateway::KvCacheStores::Place place {endpointOf("store"), 10'000};
+    const Gateway::KvCacheStores::StoreConfiguration place {endpointOf("store"), 10'000};
     one.stores.configure({place});
     other.stores.configure({place});
     const auto holder = Gateway::KvCacheStore::holderOf(place.endpoint);
