--- a/Tests/LibGateway/TestFleetWatcher.cpp
+++ b/Tests/LibGateway/TestFleetWatcher.cpp
@@ -89,7 +89,7 @@
 } // namespace
 
 TEST_CASE(
-    "configurations and weights are taken in rising order, and unreadable ones change nothing")
+    "configurations and weights are applied in ascending order, and unreadable records are ignored")
 {
     Fixture fixture;
     fixture.watcher.applyOperator({0, "config", "4"});
@@ -103,7 +103,7 @@
     CHECK(fixture.weights.newest().at("m").version == 2);
 }
 
-TEST_CASE("an upstream's older report changes nothing, and another life forgets what it kept")
+TEST_CASE("an upstream's older report is ignored, and a new incarnation clears its cached parts")
 {
     Fixture fixture;
     fixture.applyUpstream("w", "app:10:5");
@@ -132,7 +132,8 @@
     CHECK(fixture.fleet.members("other").size() == 1);
 }
 
-TEST_CASE("a vanished entry counts at once, but around trouble of the store only if it stays away")
+TEST_CASE(
+    "a removed entry takes effect at once, but around a store failure only if it does not return")
 {
     Fixture fixture;
     fixture.applyUpstream("w1", "app:10:1");
--- a/Tests/LibGateway/TestJournal.cpp
+++ b/Tests/LibGateway/TestJournal.cpp
@@ -59,7 +59,7 @@
 
 } // namespace
 
-TEST_CASE("the lease is renewed though the journal's long read hangs while others write")
+TEST_CASE("the lease is renewed although the journal's long poll hangs while others write")
 {
     Core::ManualClock clock;
     clock.advance(1h);
@@ -93,7 +93,7 @@
     CHECK(journal.lease().token(clock.now(), 300ms) == 3);
 }
 
-TEST_CASE("an instance announces itself again before the log forgets it")
+TEST_CASE("an instance announces itself again before the log drops its record")
 {
     Core::ManualClock clock;
     HangingLog log;
@@ -108,7 +108,7 @@
     CHECK(log.records.size() >= 3);
 }
 
-TEST_CASE("a restarted instance learns members and poison from what others announce again")
+TEST_CASE("a restarted instance learns members and poison requests from repeated announcements")
 {
     Core::ManualClock clock;
     clock.advance(1h);
@@ -138,7 +138,7 @@
     CHECK_FALSE(otherPoison.isPoison(42, clock.now()));
 }
 
-TEST_CASE("a lease counts from before it was asked for and ends by itself")
+TEST_CASE("a lease counts from before it was requested and expires by itself")
 {
     Core::ManualClock clock;
     OrderLease lease(Core::InstanceId("a"), 3'000ms);
@@ -155,7 +155,7 @@
     CHECK(lease.mayTake(clock.now()));
 }
 
-TEST_CASE("another instance waits for the lease's end and the distance between holders")
+TEST_CASE("another instance waits for the lease to expire and for the interval between holders")
 {
     Core::ManualClock clock;
     OrderLease lease(Core::InstanceId("b"), 3'000ms);
@@ -167,7 +167,7 @@
     CHECK(lease.mayTake(clock.now()));
 }
 
-TEST_CASE("a lease that another took over gives no token any more")
+TEST_CASE("a lease that another instance acquired no longer returns a token")
 {
     Core::ManualClock clock;
     OrderLease lease(Core::InstanceId("a"), 3'000ms);
@@ -180,7 +180,7 @@
     CHECK_FALSE(lease.token(clock.now(), 0ms).has_value());
 }
 
-TEST_CASE("holders never share a token, and follow each other at the distance, whatever is late")
+TEST_CASE("holders never share a token and keep the interval between them under any delays")
 {
     for (unsigned seed = 1; seed <= 200; ++seed) {
         std::mt19937 random(seed);
--- a/Tests/LibGateway/TestSharedLog.cpp
+++ b/Tests/LibGateway/TestSharedLog.cpp
@@ -132,7 +132,7 @@
 
 } // namespace
 
-TEST_CASE("a few instances of a data centre read the store, and the others ask them")
+TEST_CASE("a few instances of a data centre read the store, and the others query them")
 {
     Fleet fleet;
     for (int n = 0; n < 8; ++n)
@@ -157,7 +157,7 @@
         CHECK(instance->store.calls == (instance->log.isReader() ? 1 : 0));
 }
 
-TEST_CASE("a sibling's answer is as old as its own knowledge, and an old one is not waited for")
+TEST_CASE("a sibling's answer has the age of its data, and old data causes a read of the store")
 {
     Fleet fleet;
     for (int n = 0; n < 5; ++n)
@@ -180,7 +180,7 @@
     CHECK(follower.store.calls == 1);
 }
 
-TEST_CASE("a follower leaves a reader that the store hangs well before the configuration's bound")
+TEST_CASE("a follower leaves a reader whose store reads hang well before the configuration bound")
 {
     Fleet fleet;
     for (int n = 0; n < 5; ++n)
@@ -210,7 +210,7 @@
     CHECK(single.store.lastWait == 10s);
 }
 
-TEST_CASE("an instance that asks a dead reader asks the store at once")
+TEST_CASE("an instance whose reader has failed reads the store at once")
 {
     Fleet fleet;
     for (int n = 0; n < 5; ++n)
@@ -224,7 +224,7 @@
     CHECK(follower.store.calls == 1);
 }
 
-TEST_CASE("an instance that the store turns away learns from any sibling that it serves")
+TEST_CASE("an instance that the store rejects reads through any sibling that the store serves")
 {
     Fleet fleet;
     auto &cutOff = fleet.add("n0");
@@ -265,7 +265,7 @@
     CHECK(cutOff.store.calls == calls);
 }
 
-TEST_CASE("with the store away from all, what siblings tell grows old and is no answer")
+TEST_CASE("when the store is unavailable to all, siblings' data becomes too old and reads fail")
 {
     Fleet fleet;
     auto &one = fleet.add("n0");
@@ -279,7 +279,7 @@
     CHECK_THROWS_AS(fleet.read(one, 1), Core::Error);
 }
 
-TEST_CASE("a sibling that has forgotten the records asked for does not make up for them")
+TEST_CASE("a sibling without the requested records causes a read of the store")
 {
     Fleet fleet;
     for (int n = 0; n < 5; ++n)
@@ -295,7 +295,7 @@
     CHECK(follower.store.calls == 1);
 }
 
-TEST_CASE("the age of a page adds up over the way")
+TEST_CASE("the age of a relayed page includes its age at the sibling")
 {
     Core::ManualClock clock;
     clock.advance(1h);
@@ -319,7 +319,7 @@
     CHECK_FALSE(Gateway::LogRelay::decode(bytes.substr(0, bytes.size() / 2), 7, requestTime));
 }
 
-TEST_CASE("a tail keeps the newest records without a gap, within its memory")
+TEST_CASE("a tail retains the newest records without a gap, up to its size limit")
 {
     Core::ManualClock clock;
     clock.advance(1h);
--- a/Tests/LibGateway/TestSiblings.cpp
+++ b/Tests/LibGateway/TestSiblings.cpp
@@ -48,7 +48,7 @@
 
 } // namespace
 
-TEST_CASE("siblings tell load, parts, holds and weights")
+TEST_CASE("siblings report loads, cached parts, pauses and weights")
 {
     Instance one("one");
     Instance other("other");
@@ -70,7 +70,7 @@
     CHECK(other.engine().siblingLoad().inFlight == 0);
 }
 
-TEST_CASE("an overtaken datagram changes nothing, and another life begins anew")
+TEST_CASE("an out-of-order datagram is ignored, and a new incarnation replaces the old loads")
 {
     Instance one("one");
     Instance other("other");
@@ -84,7 +84,7 @@
     CHECK(other.engine().siblingLoad().inFlight == 0);
 }
 
-TEST_CASE("the load of a silent sibling counts no more, and loads of several add up")
+TEST_CASE("the load of a silent sibling is dropped, and loads of several siblings add up")
 {
     Instance one("one");
     Instance two("two");
@@ -101,7 +101,7 @@
     CHECK(other.engine().siblingLoad().waitingTokens.all == 2'000);
 }
 
-TEST_CASE("bytes that are no report, and an instance's own, are ignored")
+TEST_CASE("malformed reports and an instance's own reports are ignored")
 {
     Instance one("one");
     one.exchange->apply("");
@@ -116,7 +116,7 @@
     CHECK(other.engine().siblingLoad().inFlight == 0);
 }
 
-TEST_CASE("a sibling that no record tells of any more is known by its datagrams")
+TEST_CASE("a sibling without a record in the journal is known by its datagrams")
 {
     Instance one("one");
     Instance other("other");
@@ -137,7 +137,7 @@
     CHECK(other.members->count() == 1);
 }
 
-TEST_CASE("siblings tell which stores of parts live, and what they hold")
+TEST_CASE("siblings report which KV cache stores answer, and what they hold")
 {
     Instance one("one");
     Instance other("other");
@@ -158,7 +158,7 @@
     CHECK(other.stores.storeFor(1)->storedTokens(parts, 1) == 0);
 }
 
-TEST_CASE("holds and weights are told at once, without touching what is known of loads")
+TEST_CASE("pauses and weights are sent at once, without changing the known loads")
 {
     Instance one("one");
     Instance other("other");
@@ -188,7 +188,7 @@
     CHECK(third.engine().pausedUntil() == before);
 }
 
-TEST_CASE("in a large fleet hubs pass on the sums of data centres, each counted once")
+TEST_CASE("in a large fleet hubs forward the sums of data centres, and each is counted once")
 {
     // Two instances of each data centre exchange reports; many more only announced themselves.
     Instance northHub("north", "n", 200);
@@ -247,7 +247,7 @@
     CHECK(other.members->isHub());
 }
 
-TEST_CASE("an upstream that two instances cannot reach gets nothing for a while, from anybody")
+TEST_CASE("an upstream that two instances cannot reach is paused at all instances")
 {
     Instance one("one");
     Instance two("two");
--- a/Tests/Platform/TestFleet.cpp
+++ b/Tests/Platform/TestFleet.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("nothing goes to a worker that drains, is not listed or has an unreadable entry")
+TEST_CASE("no requests are sent to a worker that drains, is not listed or has an unreadable entry")
 {
     GatewayFixture fixture;
     auto &draining = fixture.addWorker("w-1", "app");
@@ -65,7 +65,8 @@
     }));
 }
 
-TEST_CASE("an instance that starts knows what engines keep, though no other instance lives")
+TEST_CASE(
+    "an instance restores the prefix-cache estimates at its start when no other instance runs")
 {
     GatewayFixture fixture;
     fixture.addWorker("w-1", "llm");
@@ -111,7 +112,7 @@
     }));
 }
 
-TEST_CASE("configuration and list are followed over a lost history and an outage of the store")
+TEST_CASE("configuration and upstreams are followed after lost history and an outage of the store")
 {
     GatewayFixture fixture;
     fixture.addWorker("w-1", "app");
--- a/Tests/Platform/TestRequests.cpp
+++ b/Tests/Platform/TestRequests.cpp
@@ -63,7 +63,7 @@
 
 } // namespace
 
-TEST_CASE("a request goes to a worker of its route with what the worker has to know")
+TEST_CASE("a request is sent to a worker of its route with the headers that the worker needs")
 {
     GatewayFixture fixture;
     auto &app = fixture.addWorker("w-app", "app");
@@ -116,7 +116,7 @@
     CHECK(denied.status == 401);
 }
 
-TEST_CASE("a key that was taken away stops working, and no older configuration brings it back")
+TEST_CASE("a revoked key stops working, and an older configuration does not restore it")
 {
     GatewayFixture fixture;
     auto &app = fixture.addWorker("w-app", "app");
@@ -134,7 +134,8 @@
     CHECK(app.runs() == runs);
 }
 
-TEST_CASE("without word from the store, keyed requests stop before a revocation may take effect")
+TEST_CASE(
+    "without answers from the store, requests with keys are refused before the revocation bound")
 {
     GatewayFixture fixture;
     auto &app = fixture.addWorker("w-app", "app");
@@ -153,7 +154,8 @@
     CHECK(fixture.send(GatewayFixture::request("/calls/a", "id-4")).status == 200);
 }
 
-TEST_CASE("bounds of a settings file that changes without a signal are taken, faulty ones are not")
+TEST_CASE(
+    "a settings file that changes without a signal is reloaded, and an invalid one is ignored")
 {
     GatewayFixture fixture;
     fixture.addWorker("w-app", "app");
@@ -208,7 +210,8 @@
     CHECK(header(answer, "X-Jujubesaddle-Server-Seal") == "seal");
 }
 
-TEST_CASE("a stream that breaks amid an event goes on at another engine behind the last whole one")
+TEST_CASE(
+    "a stream cut in the middle of an event resumes at another engine after the last whole event")
 {
     GatewayFixture fixture;
     auto &first = fixture.addWorker("w-1", "llm");
@@ -244,7 +247,7 @@
                     Core::Error);
 }
 
-TEST_CASE("a caller that leaves ends the work at its worker")
+TEST_CASE("a caller that disconnects ends the work at its worker")
 {
     GatewayFixture fixture;
     auto &app = fixture.addWorker("w-1", "app");
@@ -279,7 +282,7 @@
     CHECK(GatewayFixture::eventually([&] { return left == 20; }));
 }
 
-TEST_CASE("a request that broke three workers is sent to no further one, at any instance")
+TEST_CASE("a request that made three workers fail is not sent to another one by any instance")
 {
     GatewayFixture fixture;
     auto &app = fixture.addWorker("w-1", "app");
@@ -303,7 +306,7 @@
     app.setBehaviour(nullptr);
 }
 
-TEST_CASE("a repeat whose route was dropped meanwhile ends with the failure of the attempt before")
+TEST_CASE("a retry whose route was removed meanwhile returns the failure of the previous attempt")
 {
     GatewayFixture fixture;
     auto &app = fixture.addWorker("w-1", "app");
@@ -323,7 +326,7 @@
     CHECK(gateway.isRunning());
 }
 
-TEST_CASE("a failure without another free worker is told as it was, and the process goes on")
+TEST_CASE("a failure without another free worker is returned as it is, and the process continues")
 {
     GatewayFixture fixture;
     fixture.addWorker("w-1", "app").setBehaviour(crash);
@@ -345,7 +348,7 @@
     CHECK(gateway.wait() == 0);
 }
 
-TEST_CASE("late in the grace new requests are refused as not run, and running ones finish")
+TEST_CASE("late in the grace period new requests are refused as not run, and running ones finish")
 {
     GatewayFixture fixture;
     auto &app = fixture.addWorker("w-1", "app");
@@ -379,7 +382,7 @@
     CHECK(gateway.wait() == 0);
 }
 
-TEST_CASE("on SIGTERM the instance stops being ready, finishes its streams and ends with 0")
+TEST_CASE("on SIGTERM the instance stops being ready, finishes its streams and exits with 0")
 {
     GatewayFixture fixture;
     auto &engine = fixture.addWorker("w-1", "llm");
