--- a/Libraries/LibGateway/GatewayDaemon.cpp
+++ b/Libraries/LibGateway/GatewayDaemon.cpp
@@ -148,7 +148,7 @@
     using Samples = std::vector<Metrics::Gauge::Sample>;
     auto &metrics = m_gateway.metrics();
     metrics.addGauge("jujube_gateway_knowledge_age_seconds",
-                     "Time since the store was asked for what is known, by log.", "log", [this] {
+                     "Age of the data read from the store, by log.", "log", [this] {
                          Samples samples;
                          for (const auto topic :
                               {FleetTopic::Operator, FleetTopic::Upstreams, FleetTopic::Journal}) {
@@ -161,21 +161,23 @@
                          }
                          return samples;
                      });
-    metrics.addGauge("jujube_gateway_configuration_version", "The configuration in force.", "",
-                     [this] {
+    metrics.addGauge("jujube_gateway_configuration_version",
+                     "Version of the configuration in force.", "", [this] {
                          const auto &current = m_configuration.current();
                          return Samples {{"", current ? static_cast<double>(current->version) : 0}};
                      });
-    metrics.addGauge("jujube_gateway_members", "Instances, this one included.", "state", [this] {
-        const auto &siblings = m_members.siblings();
-        const auto reachable =
-            std::count_if(siblings.begin(), siblings.end(),
-                          [this](const auto &item) { return m_members.isReachable(item.second); });
-        return Samples {{"known", static_cast<double>(m_members.count())},
-                        {"reachable", static_cast<double>(reachable + 1)}};
-    });
-    metrics.addGauge("jujube_gateway_duties", "1 for each duty that this instance has now.", "duty",
-                     [this] {
+    metrics.addGauge("jujube_gateway_members", "Number of instances, including this one, by state.",
+                     "state", [this] {
+                         const auto &siblings = m_members.siblings();
+                         const auto reachable = std::count_if(
+                             siblings.begin(), siblings.end(), [this](const auto &item) {
+                                 return m_members.isReachable(item.second);
+                             });
+                         return Samples {{"known", static_cast<double>(m_members.count())},
+                                         {"reachable", static_cast<double>(reachable + 1)}};
+                     });
+    metrics.addGauge("jujube_gateway_duties", "1 for each duty that this instance currently has.",
+                     "duty", [this] {
                          const auto now = m_interfaces.clock.now();
                          const bool givesOrders = m_journal.lease().token(now, {}).has_value();
                          return Samples {{"orders", givesOrders ? 1.0 : 0.0},
--- a/Libraries/LibGateway/KvCacheStoreMonitor.cpp
+++ b/Libraries/LibGateway/KvCacheStoreMonitor.cpp
@@ -54,7 +54,7 @@
             Core::logEvent(
                 Core::EventId::PartStoreLost,
                 {{"store", Http::formatEndpoint(m_dependencies.stores.find(holder)->endpoint())},
-                 {"reason", "neither an answer nor a sibling's word of one"}});
+                 {"reason", "no answer from the store and no report from a sibling"}});
         co_await sleepFor(CheckInterval);
     }
 }
--- a/Libraries/LibGateway/LogRelay.cpp
+++ b/Libraries/LibGateway/LogRelay.cpp
@@ -55,7 +55,7 @@
     if (!logQuery || logQuery->topic() > static_cast<std::uint8_t>(LastTopic)) {
         Core::logEvent(Core::EventId::PeerFrameInvalid,
                        {{"bytes", std::to_string(exchange.request().body.size())},
-                        {"reason", "no query of a log"}});
+                        {"reason", "malformed log query"}});
         Http::Response response(400, {}, {});
         co_await exchange.respond(std::move(response));
         co_return;
@@ -91,7 +91,7 @@
     const auto response = co_await m_client.fetch(sibling, std::move(request), timeouts);
     if (response.status != 200)
         throw Core::Error(Core::ErrorKind::PlatformUnavailable,
-                          "the sibling answered " + std::to_string(response.status));
+                          "the sibling answered with status " + std::to_string(response.status));
     co_return decode(response.body, from, requestTime).value();
 }
 
@@ -126,7 +126,7 @@
     const auto *answer = readTable<Wire::LogPage>(bytes);
     if (!answer)
         return Core::Error(Core::ErrorKind::PlatformUnavailable,
-                           "the sibling's answer is no page of a log");
+                           "the sibling's answer is not a valid log page");
     FleetPage page;
     page.next = std::max(from, answer->next());
     // The sibling wrote its answer after it had held the call for this time, so the computed time
--- a/Libraries/LibGateway/SharedLog.cpp
+++ b/Libraries/LibGateway/SharedLog.cpp
@@ -186,7 +186,7 @@
                                                                   std::uint64_t from,
                                                                   milliseconds wait)
 {
-    std::string reason = "its knowledge is old";
+    std::string reason = "the sibling's data is too old";
     try {
         auto page = co_await m_dependencies.relay.query(sibling.endpoint, topic, from, wait);
         page.asOf = std::min(page.asOf, m_dependencies.clock.now());
@@ -195,7 +195,7 @@
             if (page.asOf <= m_dependencies.relay.tail(topic).asOf())
                 ++m_siblingIndex;
             m_dependencies.relay.tail(topic).extend(from, page);
-            noteSource(topic, sibling.instance, "a sibling reads for this instance");
+            noteSource(topic, sibling.instance, "the log is read through a sibling");
             co_return page;
         }
     } catch (const Core::Error &error) {
--- a/Tests/LibGateway/TestSharedLog.cpp
+++ b/Tests/LibGateway/TestSharedLog.cpp
@@ -59,7 +59,7 @@
     {
         ++calls;
         if (isUnavailable)
-            throw Core::Error(Core::ErrorKind::PlatformUnavailable, "turned away");
+            throw Core::Error(Core::ErrorKind::PlatformUnavailable, "rejected by the store");
     }
 
     std::vector<std::string> &m_records;
--- a/Tests/Platform/GatewayFixture.cpp
+++ b/Tests/Platform/GatewayFixture.cpp
@@ -28,7 +28,7 @@
 {
     std::string name = std::filesystem::temp_directory_path() / "gateway-test-XXXXXX";
     if (!::mkdtemp(name.data()))
-        throw std::runtime_error("no temporary folder");
+        throw std::runtime_error("cannot create a temporary folder");
     return name;
 }
 
