--- a/Libraries/LibGateway/LogRelay.cpp
+++ b/Libraries/LibGateway/LogRelay.cpp
@@ -14,26 +14,26 @@
 namespace {
 
 constexpr auto ConnectTimeout = 250ms;
-// Beyond the time that a sibling may hold a call.
+// Added to the time for which the sibling may hold the call.
 constexpr auto AnswerTimeout = 300ms;
-constexpr milliseconds MostWait {5'000};
-// Knowledge that is older is as good as none; this also bounds what a wrong answer can do.
-constexpr milliseconds MostAge = 1h;
+constexpr milliseconds MaxWait {5'000};
+// Older data is useless. The limit also bounds the effect of a wrong answer.
+constexpr milliseconds MaxAge = 1h;
 constexpr auto LogPath = "/log";
-// The cache snapshot is not followed.
+// Cache snapshots are not followed.
 constexpr auto LastTopic = FleetTopic::Journal;
 
-std::string finished(const flatbuffers::FlatBufferBuilder &builder)
+std::string toBytes(const flatbuffers::FlatBufferBuilder &builder)
 {
     return {reinterpret_cast<const char *>(builder.GetBufferPointer()), builder.GetSize()};
 }
 
-milliseconds bounded(std::uint64_t time, milliseconds most)
+milliseconds bounded(std::uint64_t time, milliseconds limit)
 {
-    return milliseconds(std::min<std::uint64_t>(time, static_cast<std::uint64_t>(most.count())));
+    return milliseconds(std::min<std::uint64_t>(time, static_cast<std::uint64_t>(limit.count())));
 }
 
-/// The table at the root of the bytes; null when they are no such table.
+/// Returns the root table of the bytes; null when they fail verification.
 template <typename Table>
 const Table *readTable(std::string_view bytes)
 {
@@ -51,20 +51,20 @@
 asio::awaitable<void> LogRelay::answer(Http::ServerExchange &exchange)
 {
     const auto begin = m_clock.now();
-    const auto *query = readTable<Wire::LogQuery>(exchange.request().body);
-    if (!query || query->topic() > static_cast<std::uint8_t>(LastTopic)) {
+    const auto *logQuery = readTable<Wire::LogQuery>(exchange.request().body);
+    if (!logQuery || logQuery->topic() > static_cast<std::uint8_t>(LastTopic)) {
         Core::logEvent(Core::EventId::PeerFrameInvalid,
                        {{"bytes", std::to_string(exchange.request().body.size())},
-                        {"reason", "no query of a log"}});
+                        {"reason", "malformed log query"}});
         Http::Response response(400, {}, {});
         co_await exchange.respond(std::move(response));
         co_return;
     }
-    const auto from = query->from();
-    const milliseconds wait(query->wait_ms());
-    auto &log = tail(static_cast<FleetTopic>(query->topic()));
+    const auto from = logQuery->from();
+    const milliseconds wait(logQuery->wait_ms());
+    auto &log = tail(static_cast<FleetTopic>(logQuery->topic()));
     if (log.covers(from))
-        co_await log.awaitRecord(from, std::min(wait, MostWait));
+        co_await log.awaitRecord(from, std::min(wait, MaxWait));
     if (!log.covers(from)) {
         Http::Response response(404, {}, {});
         co_await exchange.respond(std::move(response));
@@ -76,8 +76,8 @@
     co_await exchange.respond(std::move(response));
 }
 
-asio::awaitable<FleetPage> LogRelay::ask(Http::Endpoint sibling, FleetTopic topic,
-                                         std::uint64_t from, milliseconds wait)
+asio::awaitable<FleetPage> LogRelay::query(Http::Endpoint sibling, FleetTopic topic,
+                                           std::uint64_t from, milliseconds wait)
 {
     flatbuffers::FlatBufferBuilder builder;
     builder.Finish(Wire::CreateLogQuery(builder, static_cast<std::uint8_t>(topic), from,
@@ -86,16 +86,17 @@
     timeouts.connect = ConnectTimeout;
     timeouts.head = wait + AnswerTimeout;
     timeouts.body = AnswerTimeout;
-    Http::Request request("POST", LogPath, {}, finished(builder));
-    const auto asked = m_clock.now();
+    Http::Request request("POST", LogPath, {}, toBytes(builder));
+    const auto requestTime = m_clock.now();
     const auto response = co_await m_client.fetch(sibling, std::move(request), timeouts);
     if (response.status != 200)
         throw Core::Error(Core::ErrorKind::PlatformUnavailable,
-                          "the sibling answered " + std::to_string(response.status));
-    co_return decode(response.body, from, asked).value();
+                          "the sibling answered with status " + std::to_string(response.status));
+    co_return decode(response.body, from, requestTime).value();
 }
 
-std::string LogRelay::encode(const FleetPage &page, Core::Clock::Monotonic now, milliseconds waited)
+std::string LogRelay::encode(const FleetPage &page, Core::Clock::Monotonic now,
+                             milliseconds heldFor)
 {
     flatbuffers::FlatBufferBuilder builder;
     std::vector<flatbuffers::Offset<Wire::LogRecord>> records;
@@ -107,34 +108,34 @@
                 reinterpret_cast<const std::uint8_t *>(record.value->data()), record.value->size());
         records.push_back(Wire::CreateLogRecord(builder, key, value));
     }
-    // Knowledge is told older rather than younger than it is.
+    // The age is rounded up, so that data never appears newer than it is.
     const auto age = std::chrono::ceil<milliseconds>(now - page.asOf);
-    const auto troubleAge = page.trouble == Core::Clock::Monotonic::min()
+    const auto failureAge = page.lastStoreFailure == Core::Clock::Monotonic::min()
                                 ? -1
-                                : duration_cast<milliseconds>(now - page.trouble).count();
+                                : duration_cast<milliseconds>(now - page.lastStoreFailure).count();
     const auto list = builder.CreateVector(records);
     builder.Finish(Wire::CreateLogPage(builder, page.next, static_cast<std::uint64_t>(age.count()),
-                                       static_cast<std::uint64_t>(waited.count()), troubleAge,
+                                       static_cast<std::uint64_t>(heldFor.count()), failureAge,
                                        list));
-    return finished(builder);
+    return toBytes(builder);
 }
 
 Core::Result<FleetPage> LogRelay::decode(std::string_view bytes, std::uint64_t from,
-                                         Core::Clock::Monotonic asked)
+                                         Core::Clock::Monotonic requestTime)
 {
     const auto *answer = readTable<Wire::LogPage>(bytes);
     if (!answer)
         return Core::Error(Core::ErrorKind::PlatformUnavailable,
-                           "the sibling's answer is no page of a log");
+                           "the sibling's answer is not a valid log page");
     FleetPage page;
     page.next = std::max(from, answer->next());
-    // The sibling wrote its answer no earlier than it had held the call, so this time is never
-    // later than when the store was asked.
-    const auto written = asked + bounded(answer->waited_ms(), MostWait);
-    page.asOf = written - bounded(answer->age_ms(), MostAge);
+    // The sibling wrote its answer after it had held the call for this time, so the computed time
+    // is never later than the query of the store.
+    const auto answerTime = requestTime + bounded(answer->waited_ms(), MaxWait);
+    page.asOf = answerTime - bounded(answer->age_ms(), MaxAge);
     if (answer->trouble_age_ms() >= 0)
-        page.trouble =
-            written - bounded(static_cast<std::uint64_t>(answer->trouble_age_ms()), MostAge);
+        page.lastStoreFailure =
+            answerTime - bounded(static_cast<std::uint64_t>(answer->trouble_age_ms()), MaxAge);
     if (!answer->records())
         return page;
     for (const auto *entry : *answer->records()) {
--- a/Libraries/LibGateway/UpstreamChooser.cpp
+++ b/Libraries/LibGateway/UpstreamChooser.cpp
@@ -139,7 +139,7 @@
         && preferred->failureShare(limits.now) <= MaxSourceFailureShare;
     if (isRemote)
         choice.source = preferred;
-    else if (demand.store && demand.sharedTokens >= KvCacheStore::LeastTokens)
+    else if (demand.store && demand.sharedTokens >= KvCacheStore::MinTokens)
         choice.isFromStore = true;
     choice.isSpeculative = choice.source || choice.isFromStore;
 }
--- a/Tests/LibGateway/TestFleetWatcher.cpp
+++ b/Tests/LibGateway/TestFleetWatcher.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Reads "version" for configurations, "model=version" for weights, and "service:born:number" for
+/// Decodes "version" for configurations, "model=version" for weights, and "service:born:number" for
 /// upstreams.
-class PlainDecoder final : public Gateway::RecordDecoder
+class TextRecordDecoder final : public Gateway::RecordDecoder
 {
 public:
     Core::Result<Gateway::OperatorRecord>
@@ -44,7 +44,7 @@
     }
 };
 
-class NoLog final : public Gateway::FleetLog
+class EmptyLog final : public Gateway::FleetLog
 {
 public:
     boost::asio::awaitable<Gateway::FleetPage> newest(FleetTopic) override
@@ -66,8 +66,8 @@
 struct Fixture
 {
     Core::ManualClock clock;
-    NoLog log;
-    PlainDecoder decoder;
+    EmptyLog log;
+    TextRecordDecoder decoder;
     Gateway::ConfigurationState configuration;
     Gateway::WeightsTargets weights;
     Gateway::UpstreamFleet fleet;
@@ -76,7 +76,7 @@
                                    [this] { ++changes; }};
 
     Fixture() { clock.advance(1h); }
-    void upstream(const std::string &key, const std::optional<std::string> &value)
+    void applyUpstream(const std::string &key, const std::optional<std::string> &value)
     {
         watcher.applyUpstream({0, key, value});
     }
@@ -89,7 +89,7 @@
 } // namespace
 
 TEST_CASE(
-    "configurations and weights are taken in rising order, and unreadable ones change nothing")
+    "configurations and weights are applied in ascending order, and unreadable records are ignored")
 {
     Fixture fixture;
     fixture.watcher.applyOperator({0, "config", "4"});
@@ -103,57 +103,58 @@
     CHECK(fixture.weights.newest().at("m").version == 2);
 }
 
-TEST_CASE("an upstream's older report changes nothing, and another life forgets what it kept")
+TEST_CASE("an upstream's older report is ignored, and a new incarnation clears its cached parts")
 {
     Fixture fixture;
-    fixture.upstream("w", "app:10:5");
-    fixture.upstream("w", "app:10:4d");
+    fixture.applyUpstream("w", "app:10:5");
+    fixture.applyUpstream("w", "app:10:4d");
     CHECK_FALSE(fixture.find("w")->report().isDraining);
-    fixture.upstream("w", "unreadable");
+    fixture.applyUpstream("w", "unreadable");
     CHECK(fixture.find("w")->report().sequence == 5);
     auto &prefixCache = fixture.find("w")->prefixCache();
     prefixCache.setCapacity(1'000);
     const std::vector<Gateway::PromptPart> parts {{1, 100}};
     prefixCache.noteUse(parts);
-    fixture.upstream("w", "app:10:6");
+    fixture.applyUpstream("w", "app:10:6");
     CHECK(prefixCache.cachedTokens(parts) == 100);
-    fixture.upstream("w", "app:20:0");
+    fixture.applyUpstream("w", "app:20:0");
     CHECK(prefixCache.cachedTokens(parts) == 0);
-    fixture.upstream("w", "app:10:9d");
+    fixture.applyUpstream("w", "app:10:9d");
     CHECK_FALSE(fixture.find("w")->report().isDraining);
 }
 
 TEST_CASE("an upstream that moves to another service is listed there only")
 {
     Fixture fixture;
-    fixture.upstream("w", "app:10:1");
-    fixture.upstream("w", "other:20:1");
+    fixture.applyUpstream("w", "app:10:1");
+    fixture.applyUpstream("w", "other:20:1");
     CHECK(fixture.fleet.members("app").empty());
     CHECK(fixture.fleet.members("other").size() == 1);
 }
 
-TEST_CASE("a vanished entry counts at once, but around trouble of the store only if it stays away")
+TEST_CASE(
+    "a removed entry takes effect at once, but around a store failure only if it does not return")
 {
     Fixture fixture;
-    fixture.upstream("w1", "app:10:1");
-    fixture.upstream("w2", "app:10:1");
-    fixture.upstream("w3", "app:10:1");
-    fixture.upstream("w1", std::nullopt);
+    fixture.applyUpstream("w1", "app:10:1");
+    fixture.applyUpstream("w2", "app:10:1");
+    fixture.applyUpstream("w3", "app:10:1");
+    fixture.applyUpstream("w1", std::nullopt);
     CHECK_FALSE(fixture.find("w1"));
-    fixture.watcher.noteStore(FleetTopic::Upstreams, false, "down");
-    fixture.upstream("w2", std::nullopt);
-    fixture.upstream("w3", std::nullopt);
-    // Nothing can come back while the store is away.
+    fixture.watcher.noteStoreStatus(FleetTopic::Upstreams, false, "down");
+    fixture.applyUpstream("w2", std::nullopt);
+    fixture.applyUpstream("w3", std::nullopt);
+    // No upstream can register again while the store is unavailable.
     fixture.clock.advance(10s);
-    fixture.watcher.dropLapsed();
+    fixture.watcher.applyPendingRemovals();
     CHECK(fixture.find("w2"));
-    fixture.watcher.noteStore(FleetTopic::Upstreams, true, {});
+    fixture.watcher.noteStoreStatus(FleetTopic::Upstreams, true, {});
     fixture.clock.advance(1s);
-    fixture.upstream("w2", "app:10:2");
-    fixture.watcher.dropLapsed();
+    fixture.applyUpstream("w2", "app:10:2");
+    fixture.watcher.applyPendingRemovals();
     CHECK(fixture.find("w3"));
     fixture.clock.advance(2s);
-    fixture.watcher.dropLapsed();
+    fixture.watcher.applyPendingRemovals();
     CHECK(fixture.find("w2"));
     CHECK_FALSE(fixture.find("w3"));
 }
--- a/Tests/LibGateway/TestJournal.cpp
+++ b/Tests/LibGateway/TestJournal.cpp
@@ -20,7 +20,8 @@
 
 namespace {
 
-/// A log whose waiting reads hang, as those of a store that lost track of its watchers.
+/// A log whose long polls never return, like those of a store that has lost its list of waiting
+/// readers.
 class HangingLog final : public Gateway::FleetLog
 {
 public:
@@ -58,7 +59,7 @@
 
 } // namespace
 
-TEST_CASE("the lease is renewed though the journal's long read hangs while others write")
+TEST_CASE("the lease is renewed although the journal's long poll hangs while others write")
 {
     Core::ManualClock clock;
     clock.advance(1h);
@@ -78,7 +79,8 @@
             isTaken = co_await journal.takeLease();
             log.records.emplace_back("what another instance wrote");
             clock.advance(1s);
-            // The first try finds the log's end moved; the next one knows of it.
+            // The first attempt fails because the end of the log has moved, and reads the new
+            // records.
             isRenewed = co_await journal.takeLease();
             if (!isRenewed)
                 isRenewed = co_await journal.takeLease();
@@ -91,7 +93,7 @@
     CHECK(journal.lease().token(clock.now(), 300ms) == 3);
 }
 
-TEST_CASE("an instance announces itself again before the log forgets it")
+TEST_CASE("an instance announces itself again before the log drops its record")
 {
     Core::ManualClock clock;
     HangingLog log;
@@ -106,7 +108,7 @@
     CHECK(log.records.size() >= 3);
 }
 
-TEST_CASE("a restarted instance learns members and poison from what others announce again")
+TEST_CASE("a restarted instance learns members and poison requests from repeated announcements")
 {
     Core::ManualClock clock;
     clock.advance(1h);
@@ -120,30 +122,31 @@
         poison.noteUpstreamFailure(42, clock.now());
     poison.noteUpstreamFailure(43, clock.now());
 
-    Gateway::PoisonRequestTable freshPoison;
-    Gateway::FleetMembers fresh({Core::InstanceId("b"), "south", endpoint}, clock);
-    Gateway::FleetJournal other(log, clock, settings, freshPoison, fresh);
-    other.apply({9, {}, journal.announcement()});
-    CHECK(fresh.count() == 2);
-    CHECK(fresh.siblings().begin()->second.member.dataCentre == "north");
-    CHECK(freshPoison.isPoison(42, clock.now()));
-    CHECK_FALSE(freshPoison.isPoison(43, clock.now()));
-    // What was only told is not announced on, or it would never be forgotten.
-    CHECK(freshPoison.poisonDigests(clock.now()).empty());
+    Gateway::PoisonRequestTable otherPoison;
+    Gateway::FleetMembers otherMembers({Core::InstanceId("b"), "south", endpoint}, clock);
+    Gateway::FleetJournal otherJournal(log, clock, settings, otherPoison, otherMembers);
+    otherJournal.apply({9, {}, journal.announcement()});
+    CHECK(otherMembers.count() == 2);
+    CHECK(otherMembers.siblings().begin()->second.member.dataCentre == "north");
+    CHECK(otherPoison.isPoison(42, clock.now()));
+    CHECK_FALSE(otherPoison.isPoison(43, clock.now()));
+    // Poison requests learned from an announcement are not announced again, or they would never
+    // expire.
+    CHECK(otherPoison.poisonDigests(clock.now()).empty());
     clock.advance(6min);
-    other.apply({10, {}, journal.announcement()});
-    CHECK_FALSE(freshPoison.isPoison(42, clock.now()));
+    otherJournal.apply({10, {}, journal.announcement()});
+    CHECK_FALSE(otherPoison.isPoison(42, clock.now()));
 }
 
-TEST_CASE("a lease counts from before it was asked for and ends by itself")
+TEST_CASE("a lease counts from before it was requested and expires by itself")
 {
     Core::ManualClock clock;
     OrderLease lease(Core::InstanceId("a"), 3'000ms);
     CHECK(lease.mayTake(clock.now()));
-    const auto asked = clock.now();
-    // The process stood still while the answer was on its way.
+    const auto requestTime = clock.now();
+    // The process was suspended while the answer was on its way.
     clock.advance(2s);
-    lease.noteTaken(7, asked);
+    lease.noteTaken(7, requestTime);
     CHECK_FALSE(lease.token(clock.now(), 0ms).has_value());
     lease.noteTaken(8, clock.now());
     CHECK(lease.token(clock.now(), 300ms) == 9);
@@ -152,7 +155,7 @@
     CHECK(lease.mayTake(clock.now()));
 }
 
-TEST_CASE("another instance waits for the lease's end and the distance between holders")
+TEST_CASE("another instance waits for the lease to expire and for the interval between holders")
 {
     Core::ManualClock clock;
     OrderLease lease(Core::InstanceId("b"), 3'000ms);
@@ -164,7 +167,7 @@
     CHECK(lease.mayTake(clock.now()));
 }
 
-TEST_CASE("a lease that another took over gives no token any more")
+TEST_CASE("a lease that another instance acquired no longer returns a token")
 {
     Core::ManualClock clock;
     OrderLease lease(Core::InstanceId("a"), 3'000ms);
@@ -172,12 +175,12 @@
     CHECK(lease.token(clock.now(), 0ms).has_value());
     lease.noteRecord(6, Core::InstanceId("b"), clock.now());
     CHECK_FALSE(lease.token(clock.now(), 0ms).has_value());
-    // A record that is read late changes nothing.
+    // An older record that is read late changes nothing.
     lease.noteRecord(4, Core::InstanceId("a"), clock.now());
     CHECK_FALSE(lease.token(clock.now(), 0ms).has_value());
 }
 
-TEST_CASE("holders never share a token, and follow each other at the distance, whatever is late")
+TEST_CASE("holders never share a token and keep the interval between them under any delays")
 {
     for (unsigned seed = 1; seed <= 200; ++seed) {
         std::mt19937 random(seed);
@@ -208,18 +211,19 @@
                 }
                 if (chance(1))
                     instance.frozenSteps = static_cast<int>(random() % 400);
-                // Records are seen late now and then.
+                // Records are sometimes read late.
                 while (instance.read < log.size() && chance(70)) {
                     instance.lease->noteRecord(instance.read,
                                                Core::InstanceId(std::to_string(log[instance.read])),
                                                clock.now());
                     ++instance.read;
                 }
-                const auto asked = clock.now();
-                if (instance.read == log.size() && instance.lease->mayTake(asked) && chance(10)) {
+                const auto requestTime = clock.now();
+                if (instance.read == log.size() && instance.lease->mayTake(requestTime)
+                    && chance(10)) {
                     log.push_back(n);
                     if (chance(80)) {
-                        instance.lease->noteTaken(log.size() - 1, asked);
+                        instance.lease->noteTaken(log.size() - 1, requestTime);
                         instance.read = log.size();
                     }
                 }
--- a/Tests/LibGateway/TestSharedLog.cpp
+++ b/Tests/LibGateway/TestSharedLog.cpp
@@ -16,17 +16,17 @@
 
 namespace {
 
-/// The store as one instance reaches it: it can be closed to that instance alone.
-class StoreDoor final : public Gateway::FleetLog
+/// The connection of one instance to the store, which can fail for that instance alone.
+class StoreConnection final : public Gateway::FleetLog
 {
 public:
-    explicit StoreDoor(std::vector<std::string> &records)
+    explicit StoreConnection(std::vector<std::string> &records)
         : m_records(records)
     { }
 
     asio::awaitable<FleetPage> newest(FleetTopic) override
     {
-        enter();
+        countCall();
         FleetPage page;
         page.next = m_records.size();
         co_return page;
@@ -34,7 +34,7 @@
     asio::awaitable<FleetPage> read(FleetTopic, std::uint64_t from,
                                     std::chrono::milliseconds wait) override
     {
-        enter();
+        countCall();
         lastWait = wait;
         FleetPage page;
         page.next = m_records.size();
@@ -45,21 +45,21 @@
     asio::awaitable<Gateway::AppendOutcome> append(FleetTopic, std::string value,
                                                    std::optional<std::uint64_t>) override
     {
-        enter();
+        countCall();
         m_records.push_back(std::move(value));
         co_return Gateway::AppendOutcome {true, m_records.size() - 1};
     }
 
-    bool isClosed = false;
+    bool isUnavailable = false;
     int calls = 0;
     std::chrono::milliseconds lastWait {0};
 
 private:
-    void enter()
+    void countCall()
     {
         ++calls;
-        if (isClosed)
-            throw Core::Error(Core::ErrorKind::PlatformUnavailable, "turned away");
+        if (isUnavailable)
+            throw Core::Error(Core::ErrorKind::PlatformUnavailable, "rejected by the store");
     }
 
     std::vector<std::string> &m_records;
@@ -69,18 +69,18 @@
 {
     Instance(const std::string &name, const std::string &dataCentre,
              std::vector<std::string> &records, Core::IoThreads &threads, const Core::Clock &clock)
-        : door(records)
+        : store(records)
         , relay(clock)
         , server(Http::Server::create(
                      threads, Http::parseEndpoint("127.0.0.1:0").value(), {},
                      [this](Http::ServerExchange &exchange) { return relay.answer(exchange); })
                      .value())
         , members({Core::InstanceId(name), dataCentre, server->localEndpoint()}, clock)
-        , log({door, relay, members, clock, settings})
+        , log({store, relay, members, clock, settings})
     { }
 
     Gateway::GatewaySettings settings;
-    StoreDoor door;
+    StoreConnection store;
     Gateway::LogRelay relay;
     std::unique_ptr<Http::Server> server;
     Gateway::FleetMembers members;
@@ -95,16 +95,16 @@
     Instance &add(const std::string &name, const std::string &dataCentre = "north")
     {
         instances.push_back(std::make_unique<Instance>(name, dataCentre, records, threads, clock));
-        hear();
+        exchangeDatagrams();
         return *instances.back();
     }
 
-    /// All hear all others.
-    void hear()
+    /// Every instance records a datagram of every other one.
+    void exchangeDatagrams()
     {
         for (auto &one : instances) {
             for (auto &other : instances)
-                one->members.noteHeard(other->members.self());
+                one->members.noteDatagram(other->members.self());
         }
     }
 
@@ -115,7 +115,7 @@
             .get();
     }
 
-    Instance &firstThat(bool isReader)
+    Instance &firstInstance(bool isReader)
     {
         for (auto &instance : instances) {
             if (instance->log.isReader() == isReader)
@@ -132,12 +132,12 @@
 
 } // namespace
 
-TEST_CASE("a few instances of a data centre read the store, and the others ask them")
+TEST_CASE("a few instances of a data centre read the store, and the others query them")
 {
     Fleet fleet;
     for (int n = 0; n < 8; ++n)
         fleet.add("n" + std::to_string(n));
-    // Instances of another data centre are few, and all read.
+    // The other data centre has few instances, so all of them are readers.
     fleet.add("s0", "south");
     int readers = 0;
     for (auto &instance : fleet.instances)
@@ -154,10 +154,10 @@
         }
     }
     for (auto &instance : fleet.instances)
-        CHECK(instance->door.calls == (instance->log.isReader() ? 1 : 0));
+        CHECK(instance->store.calls == (instance->log.isReader() ? 1 : 0));
 }
 
-TEST_CASE("a sibling's answer is as old as its own knowledge, and an old one is not waited for")
+TEST_CASE("a sibling's answer has the age of its data, and old data causes a read of the store")
 {
     Fleet fleet;
     for (int n = 0; n < 5; ++n)
@@ -167,84 +167,84 @@
         if (instance->log.isReader())
             fleet.read(*instance, 0);
     }
-    auto &follower = fleet.firstThat(false);
+    auto &follower = fleet.firstInstance(false);
     fleet.clock.advance(1s);
-    fleet.hear();
+    fleet.exchangeDatagrams();
     const auto page = fleet.read(follower, 0);
     CHECK(page.asOf <= begin);
     CHECK(page.asOf >= begin - 100ms);
-    CHECK(follower.door.calls == 0);
+    CHECK(follower.store.calls == 0);
     fleet.clock.advance(3s);
-    fleet.hear();
+    fleet.exchangeDatagrams();
     CHECK(fleet.read(follower, 0).asOf == fleet.clock.now());
-    CHECK(follower.door.calls == 1);
+    CHECK(follower.store.calls == 1);
 }
 
-TEST_CASE("a follower leaves a reader that the store hangs well before the configuration's bound")
+TEST_CASE("a follower leaves a reader whose store reads hang well before the configuration bound")
 {
     Fleet fleet;
     for (int n = 0; n < 5; ++n)
         fleet.add("n" + std::to_string(n));
-    auto &follower = fleet.firstThat(false);
+    auto &follower = fleet.firstInstance(false);
     const auto bound = follower.settings.configurationBound;
     for (auto &instance : fleet.instances) {
         if (!instance->log.isReader())
             continue;
         fleet.read(*instance, 0, 10s);
-        // Readers whom others follow ask often enough for their knowledge to be taken.
-        CHECK(instance->door.lastWait * 2 <= 0.6 * bound);
+        // Readers with followers read often enough that followers accept their data.
+        CHECK(instance->store.lastWait * 2 <= 0.6 * bound);
     }
     fleet.clock.advance(bound / 2);
-    fleet.hear();
+    fleet.exchangeDatagrams();
     fleet.read(follower, 0);
-    CHECK(follower.door.calls == 0);
-    // The readers hear nothing more of the store from here on.
+    CHECK(follower.store.calls == 0);
+    // The readers make no more store reads from here on.
     fleet.clock.advance(bound / 4);
-    fleet.hear();
+    fleet.exchangeDatagrams();
     fleet.records.emplace_back("newer");
     CHECK(fleet.read(follower, 1).records.size() == 1);
-    CHECK(follower.door.calls == 1);
-    // Alone in its data centre, an instance may wait for long.
-    auto &lonely = fleet.add("s0", "south");
-    fleet.read(lonely, 0, 10s);
-    CHECK(lonely.door.lastWait == 10s);
+    CHECK(follower.store.calls == 1);
+    // An instance alone in its data centre may use long polls.
+    auto &single = fleet.add("s0", "south");
+    fleet.read(single, 0, 10s);
+    CHECK(single.store.lastWait == 10s);
 }
 
-TEST_CASE("an instance that asks a dead reader asks the store at once")
+TEST_CASE("an instance whose reader has failed reads the store at once")
 {
     Fleet fleet;
     for (int n = 0; n < 5; ++n)
         fleet.add("n" + std::to_string(n));
-    auto &follower = fleet.firstThat(false);
+    auto &follower = fleet.firstInstance(false);
     for (auto &instance : fleet.instances) {
         if (instance->log.isReader())
             instance->server->stopAccepting();
     }
     CHECK(fleet.read(follower, 0).records.size() == 1);
-    CHECK(follower.door.calls == 1);
+    CHECK(follower.store.calls == 1);
 }
 
-TEST_CASE("an instance that the store turns away learns from any sibling that it serves")
+TEST_CASE("an instance that the store rejects reads through any sibling that the store serves")
 {
     Fleet fleet;
-    auto &cut = fleet.add("n0");
-    auto &alsoCut = fleet.add("n1");
-    auto &served = fleet.add("s0", "south");
-    fleet.read(cut, 0);
-    fleet.read(alsoCut, 0);
-    cut.door.isClosed = true;
-    alsoCut.door.isClosed = true;
+    auto &cutOff = fleet.add("n0");
+    auto &alsoCutOff = fleet.add("n1");
+    auto &connected = fleet.add("s0", "south");
+    fleet.read(cutOff, 0);
+    fleet.read(alsoCutOff, 0);
+    cutOff.store.isUnavailable = true;
+    alsoCutOff.store.isUnavailable = true;
     fleet.clock.advance(1s);
-    fleet.hear();
+    fleet.exchangeDatagrams();
     fleet.records.emplace_back("second");
-    const auto asked = fleet.clock.now();
-    fleet.read(served, 1);
+    const auto requestTime = fleet.clock.now();
+    fleet.read(connected, 1);
     fleet.clock.advance(500ms);
-    // A sibling that is cut off as well may be asked first; its knowledge is no newer.
+    // A sibling that the store rejects as well may be queried first; its data is not newer.
     FleetPage page;
     for (int n = 0; n < 4 && page.records.empty(); ++n) {
         try {
-            page = fleet.read(cut, 1);
+            page = fleet.read(cutOff, 1);
         } catch (const Core::Error &error) {
             CHECK(error.kind() == Core::ErrorKind::PlatformUnavailable);
         }
@@ -252,74 +252,74 @@
     REQUIRE(page.records.size() == 1);
     CHECK(page.records.front().value == "second");
     CHECK(page.records.front().offset == 1);
-    CHECK(page.asOf <= asked);
-    // The trouble is this instance's; whoever reads the store has none.
-    CHECK(page.trouble == Core::Clock::Monotonic::min());
-    // It may ask again before there is anything newer, and does not turn to the store for it.
-    const auto calls = cut.door.calls;
+    CHECK(page.asOf <= requestTime);
+    // The failure is this instance's; the sibling that read the store had none.
+    CHECK(page.lastStoreFailure == Core::Clock::Monotonic::min());
+    // Queries before there is newer data do not cause reads of the store.
+    const auto calls = cutOff.store.calls;
     for (int n = 0; n < 3; ++n) {
         fleet.clock.advance(200ms);
-        fleet.hear();
-        CHECK(fleet.read(cut, 2).asOf <= asked);
+        fleet.exchangeDatagrams();
+        CHECK(fleet.read(cutOff, 2).asOf <= requestTime);
     }
-    CHECK(cut.door.calls == calls);
+    CHECK(cutOff.store.calls == calls);
 }
 
-TEST_CASE("with the store away from all, what siblings tell grows old and is no answer")
+TEST_CASE("when the store is unavailable to all, siblings' data becomes too old and reads fail")
 {
     Fleet fleet;
     auto &one = fleet.add("n0");
     auto &other = fleet.add("n1");
     fleet.read(one, 0);
     fleet.read(other, 0);
-    one.door.isClosed = true;
-    other.door.isClosed = true;
+    one.store.isUnavailable = true;
+    other.store.isUnavailable = true;
     fleet.clock.advance(5s);
-    fleet.hear();
+    fleet.exchangeDatagrams();
     CHECK_THROWS_AS(fleet.read(one, 1), Core::Error);
 }
 
-TEST_CASE("a sibling that has forgotten the records asked for does not make up for them")
+TEST_CASE("a sibling without the requested records causes a read of the store")
 {
     Fleet fleet;
     for (int n = 0; n < 5; ++n)
         fleet.add("n" + std::to_string(n));
     fleet.records = {"first", "second"};
     for (auto &instance : fleet.instances) {
-        // Readers begin behind the first record.
+        // Readers start after the first record.
         if (instance->log.isReader())
             fleet.read(*instance, 1);
     }
-    auto &follower = fleet.firstThat(false);
+    auto &follower = fleet.firstInstance(false);
     CHECK(fleet.read(follower, 0).records.size() == 2);
-    CHECK(follower.door.calls == 1);
+    CHECK(follower.store.calls == 1);
 }
 
-TEST_CASE("the age of a page adds up over the way")
+TEST_CASE("the age of a relayed page includes its age at the sibling")
 {
     Core::ManualClock clock;
     clock.advance(1h);
     FleetPage page;
     page.next = 9;
     page.asOf = clock.now() - 3s;
-    page.trouble = clock.now() - 10s;
+    page.lastStoreFailure = clock.now() - 10s;
     page.records.push_back({7, "a", "value"});
     page.records.push_back({8, "b", std::nullopt});
     const auto bytes = Gateway::LogRelay::encode(page, clock.now(), 200ms);
-    const auto asked = clock.now() + 1min;
-    const auto told = Gateway::LogRelay::decode(bytes, 7, asked).value();
-    CHECK(told.asOf == asked + 200ms - 3s);
-    CHECK(told.trouble == asked + 200ms - 10s);
-    CHECK(told.next == 9);
-    REQUIRE(told.records.size() == 2);
-    CHECK(told.records[0].value == "value");
-    CHECK(told.records[1].offset == 8);
-    CHECK_FALSE(told.records[1].value);
-    CHECK_FALSE(Gateway::LogRelay::decode("", 7, asked));
-    CHECK_FALSE(Gateway::LogRelay::decode(bytes.substr(0, bytes.size() / 2), 7, asked));
+    const auto requestTime = clock.now() + 1min;
+    const auto decoded = Gateway::LogRelay::decode(bytes, 7, requestTime).value();
+    CHECK(decoded.asOf == requestTime + 200ms - 3s);
+    CHECK(decoded.lastStoreFailure == requestTime + 200ms - 10s);
+    CHECK(decoded.next == 9);
+    REQUIRE(decoded.records.size() == 2);
+    CHECK(decoded.records[0].value == "value");
+    CHECK(decoded.records[1].offset == 8);
+    CHECK_FALSE(decoded.records[1].value);
+    CHECK_FALSE(Gateway::LogRelay::decode("", 7, requestTime));
+    CHECK_FALSE(Gateway::LogRelay::decode(bytes.substr(0, bytes.size() / 2), 7, requestTime));
 }
 
-TEST_CASE("a tail keeps the newest records without a gap, within its memory")
+TEST_CASE("a tail retains the newest records without a gap, up to its size limit")
 {
     Core::ManualClock clock;
     clock.advance(1h);
@@ -334,18 +334,19 @@
     CHECK_FALSE(tail.covers(3));
     CHECK(tail.covers(4));
     CHECK(tail.page(6).records.front().value == "6");
-    // The same page again, and one that was overtaken, change nothing.
+    // A duplicate page changes nothing.
     tail.extend(4, page);
     CHECK(tail.page(4).records.size() == 4);
-    // Records that nobody read begin a new tail.
+    // A gap in the records starts a new tail.
     page.records = {{20, "key", "20"}};
     page.next = 21;
     tail.extend(20, page);
     CHECK_FALSE(tail.covers(8));
     CHECK(tail.next() == 21);
-    // An incomplete page is no proof that nothing newer was there.
+    // An incomplete page does not show that there are no newer records, so it does not update the
+    // age.
     clock.advance(1s);
-    page.records = {{21, "key", std::string(Gateway::LogTail::MostBytes, 'x')}};
+    page.records = {{21, "key", std::string(Gateway::LogTail::MaxBytes, 'x')}};
     page.next = 22;
     page.asOf = clock.now();
     page.isComplete = false;
--- a/Tests/LibGateway/TestSiblings.cpp
+++ b/Tests/LibGateway/TestSiblings.cpp
@@ -11,7 +11,7 @@
 
 Http::Endpoint endpointOf(const std::string &name)
 {
-    // Any address that differs by name.
+    // An arbitrary address that depends on the name.
     return {boost::asio::ip::make_address("127.0.0.1"),
             static_cast<std::uint16_t>(9'000 + name[0])};
 }
@@ -48,7 +48,7 @@
 
 } // namespace
 
-TEST_CASE("siblings tell load, parts, holds and weights")
+TEST_CASE("siblings report loads, cached parts, pauses and weights")
 {
     Instance one("one");
     Instance other("other");
@@ -70,7 +70,7 @@
     CHECK(other.engine().siblingLoad().inFlight == 0);
 }
 
-TEST_CASE("an overtaken datagram changes nothing, and another life begins anew")
+TEST_CASE("an out-of-order datagram is ignored, and a new incarnation replaces the old loads")
 {
     Instance one("one");
     Instance other("other");
@@ -84,7 +84,7 @@
     CHECK(other.engine().siblingLoad().inFlight == 0);
 }
 
-TEST_CASE("the load of a silent sibling counts no more, and loads of several add up")
+TEST_CASE("the load of a silent sibling is dropped, and loads of several siblings add up")
 {
     Instance one("one");
     Instance two("two");
@@ -101,7 +101,7 @@
     CHECK(other.engine().siblingLoad().waitingTokens.all == 2'000);
 }
 
-TEST_CASE("bytes that are no report, and an instance's own, are ignored")
+TEST_CASE("malformed reports and an instance's own reports are ignored")
 {
     Instance one("one");
     one.exchange->apply("");
@@ -116,7 +116,7 @@
     CHECK(other.engine().siblingLoad().inFlight == 0);
 }
 
-TEST_CASE("a sibling that no record tells of any more is known by its datagrams")
+TEST_CASE("a sibling without a record in the journal is known by its datagrams")
 {
     Instance one("one");
     Instance other("other");
@@ -131,20 +131,20 @@
     other.clock.advance(2s);
     CHECK_FALSE(other.members->isReachable(sibling));
     CHECK(other.members->count() == 2);
-    // Long after its last word it uses no part of any budget.
+    // A member that was not seen for a long time has no share of any budget.
     other.clock.advance(60s);
-    other.members->dropLapsed();
+    other.members->dropExpired();
     CHECK(other.members->count() == 1);
 }
 
-TEST_CASE("siblings tell which stores of parts live, and what they hold")
+TEST_CASE("siblings report which KV cache stores answer, and what they hold")
 {
     Instance one("one");
     Instance other("other");
-    const Gateway::KvCacheStores::Place place {endpointOf("store"), 10'000};
-    one.stores.configure({place});
-    other.stores.configure({place});
-    const auto holder = Gateway::KvCacheStore::holderOf(place.endpoint);
+    const Gateway::KvCacheStores::StoreConfiguration configuration {endpointOf("store"), 10'000};
+    one.stores.configure({configuration});
+    other.stores.configure({configuration});
+    const auto holder = Gateway::KvCacheStore::holderOf(configuration.endpoint);
     const std::vector<Gateway::PromptPart> parts {{1, 100}, {2, 200}};
     const auto stored = Gateway::KvCacheStore::storedParts(parts, 1);
     one.stores.noteAnswer(holder, 7, one.clock.now());
@@ -158,7 +158,7 @@
     CHECK(other.stores.storeFor(1)->storedTokens(parts, 1) == 0);
 }
 
-TEST_CASE("holds and weights are told at once, without touching what is known of loads")
+TEST_CASE("pauses and weights are sent at once, without changing the known loads")
 {
     Instance one("one");
     Instance other("other");
@@ -172,69 +172,69 @@
     CHECK(other.engine().pausedUntil() == other.clock.now() + 500ms);
     CHECK(other.engine().weights("m") == 4);
     CHECK(other.engine().siblingLoad().inFlight == 1);
-    // Neither when another's report makes it add up all loads anew.
+    // A report of another sibling, which recomputes the sums, does not change them either.
     other.exchange->apply(Instance("two").exchange->encode());
     CHECK(other.engine().siblingLoad().inFlight == 1);
-    // The next whole report repeats them for whoever missed the first datagram.
+    // The next full report repeats them for siblings that missed the first datagram.
     Instance third("third");
     third.exchange->apply(one.exchange->encode());
     CHECK(third.engine().pausedUntil() == third.clock.now() + 500ms);
     CHECK(third.engine().weights("m") == 4);
     CHECK(third.engine().siblingLoad().inFlight == 1);
-    // And no other report does.
+    // Later reports do not repeat them.
     third.clock.advance(1s);
     const auto before = third.engine().pausedUntil();
     third.exchange->apply(one.exchange->encode());
     CHECK(third.engine().pausedUntil() == before);
 }
 
-TEST_CASE("in a large fleet hubs pass on the sums of data centres, each counted once")
+TEST_CASE("in a large fleet hubs forward the sums of data centres, and each is counted once")
 {
-    // Two of each data centre talk; many more only announced themselves.
-    Instance north("north", "n", 200);
-    Instance northern("onother", "n", 10);
-    Instance south("south", "s", 200);
-    Instance southern("touther", "s", 10);
-    const auto all = {&north, &northern, &south, &southern};
+    // Two instances of each data centre exchange reports; many more only announced themselves.
+    Instance northHub("north", "n", 200);
+    Instance northMember("onother", "n", 10);
+    Instance southHub("south", "s", 200);
+    Instance southMember("touther", "s", 10);
+    const auto all = {&northHub, &northMember, &southHub, &southMember};
     for (auto *instance : all) {
         for (int n = 0; n < 20; ++n)
             instance->members->noteAnnounced(
                 {Core::InstanceId("quiet-" + std::to_string(n)), n % 2 == 0 ? "n" : "s", {}, 500});
     }
-    north.engine().noteSent(1'000, true);
-    northern.engine().noteSent(2'000, true);
-    south.engine().noteSent(4'000, true);
-    southern.engine().noteSent(8'000, true);
+    northHub.engine().noteSent(1'000, true);
+    northMember.engine().noteSent(2'000, true);
+    southHub.engine().noteSent(4'000, true);
+    southMember.engine().noteSent(8'000, true);
     const std::vector<Gateway::PromptPart> parts {{1, 100}};
-    northern.exchange->publishParts(northern.engine(), parts);
-    const auto tellNearby = [](Instance &one, Instance &other) {
+    northMember.exchange->publishParts(northMember.engine(), parts);
+    const auto sendReport = [](Instance &one, Instance &other) {
         const auto report = one.exchange->encode();
         other.exchange->apply(report);
     };
-    tellNearby(north, northern);
-    tellNearby(northern, north);
-    tellNearby(south, southern);
-    tellNearby(southern, south);
-    CHECK(north.members->isLarge());
-    // Members that were never heard of are no hubs, however fast their links are.
-    CHECK(north.members->isHub());
-    CHECK_FALSE(northern.members->isHub());
-    CHECK(south.members->isHub());
+    sendReport(northHub, northMember);
+    sendReport(northMember, northHub);
+    sendReport(southHub, southMember);
+    sendReport(southMember, southHub);
+    CHECK(northHub.members->isLarge());
+    // Members that never sent a datagram are not hubs, however fast their links are.
+    CHECK(northHub.members->isHub());
+    CHECK_FALSE(northMember.members->isHub());
+    CHECK(southHub.members->isHub());
     for (int round = 0; round < 3; ++round) {
-        south.exchange->apply(north.exchange->encodeDataCentre());
-        north.exchange->apply(south.exchange->encodeDataCentre());
-        southern.exchange->apply(south.exchange->encodeRemoteSum());
-        northern.exchange->apply(north.exchange->encodeRemoteSum());
+        southHub.exchange->apply(northHub.exchange->encodeDataCentre());
+        northHub.exchange->apply(southHub.exchange->encodeDataCentre());
+        southMember.exchange->apply(southHub.exchange->encodeRemoteSum());
+        northMember.exchange->apply(northHub.exchange->encodeRemoteSum());
     }
     for (auto *instance : all)
         CHECK(instance->engine().tokensAhead(false) == 15'000);
-    // Even what a former hub still passes on is counted once.
-    southern.exchange->apply(north.exchange->encodeDataCentre());
-    CHECK(southern.engine().tokensAhead(false) == 15'000);
-    south.exchange->apply(southern.exchange->encodeRemoteSum());
-    south.exchange->apply(south.exchange->encodeDataCentre());
-    CHECK(south.engine().tokensAhead(false) == 15'000);
-    CHECK(southern.engine().prefixCache().cachedTokens(parts) == 100);
+    // A sum that a former hub still forwards is not counted twice.
+    southMember.exchange->apply(northHub.exchange->encodeDataCentre());
+    CHECK(southMember.engine().tokensAhead(false) == 15'000);
+    southHub.exchange->apply(southMember.exchange->encodeRemoteSum());
+    southHub.exchange->apply(southHub.exchange->encodeDataCentre());
+    CHECK(southHub.engine().tokensAhead(false) == 15'000);
+    CHECK(southMember.engine().prefixCache().cachedTokens(parts) == 100);
 }
 
 TEST_CASE("the next fastest instance becomes the hub when the hub goes silent")
@@ -247,21 +247,21 @@
     CHECK(other.members->isHub());
 }
 
-TEST_CASE("an upstream that two instances cannot reach gets nothing for a while, from anybody")
+TEST_CASE("an upstream that two instances cannot reach is paused at all instances")
 {
     Instance one("one");
     Instance two("two");
     Instance other("other");
     one.exchange->publishUnreachable(one.engine());
     other.exchange->apply(one.exchange->encodeUrgent());
-    // One alone may be cut off itself, however often it says so.
+    // A single instance may itself be disconnected, however often it reports the upstream.
     one.exchange->publishUnreachable(one.engine());
     other.exchange->apply(one.exchange->encodeUrgent());
     CHECK(other.engine().pausedUntil() <= other.clock.now());
     two.exchange->publishUnreachable(two.engine());
     other.exchange->apply(two.exchange->encodeUrgent());
     CHECK(other.engine().pausedUntil() == other.clock.now() + Gateway::Upstream::UnreachablePause);
-    // Long ago is no confirmation.
+    // An old report does not count as confirmation.
     other.clock.advance(10s);
     one.exchange->publishUnreachable(one.engine());
     other.exchange->apply(one.exchange->encodeUrgent());
--- a/Tests/Platform/TestFleet.cpp
+++ b/Tests/Platform/TestFleet.cpp
@@ -17,26 +17,26 @@
 
 } // namespace
 
-TEST_CASE("nothing goes to a worker that drains, is not listed or has an unreadable entry")
+TEST_CASE("no requests are sent to a worker that drains, is not listed or has an unreadable entry")
 {
     GatewayFixture fixture;
     auto &draining = fixture.addWorker("w-1", "app");
-    auto &gone = fixture.addWorker("w-2", "app");
+    auto &removed = fixture.addWorker("w-2", "app");
     auto &staying = fixture.addWorker("w-3", "app");
     fixture.configure(1);
     fixture.startGateway();
     fixture.store.put("keyed.servers", "w-1", draining.entry("draining"));
     fixture.store.put("keyed.servers", "w-2", std::nullopt);
-    // What another writer wrote changes nothing of what is known.
+    // Invalid entries do not replace the last valid ones.
     fixture.store.put("keyed.servers", "w-3", R"({"Service":7,"State":"ready"})");
     fixture.store.put("keyed.servers", "w-4", "\x01\x02");
     std::this_thread::sleep_for(1s);
-    const auto before = draining.requests().size() + gone.requests().size();
+    const auto before = draining.requests().size() + removed.requests().size();
     for (int n = 0; n < 10; ++n)
         CHECK(fixture.send(GatewayFixture::request("/calls/a", "id-" + std::to_string(n))).status
               == 200);
     CHECK(staying.requests().size() >= 10);
-    CHECK(draining.requests().size() + gone.requests().size() == before);
+    CHECK(draining.requests().size() + removed.requests().size() == before);
 }
 
 TEST_CASE("new weights are ordered once from each engine under one token, and requests expect them")
@@ -59,13 +59,14 @@
     CHECK(one.at("Mode") == "queue");
     CHECK(GatewayFixture::eventually([&] {
         fixture.send(GatewayFixture::streamRequest("/streams/a", "id"));
-        // While an instance learns of the new weights, it may have to refuse.
+        // An instance may refuse requests until it knows the new weights.
         const auto seen = first.requests().empty() ? second.requests() : first.requests();
         return !seen.empty() && header(seen.back(), "X-Jujubesaddle-Expect-Version") == "2";
     }));
 }
 
-TEST_CASE("an instance that starts knows what engines keep, though no other instance lives")
+TEST_CASE(
+    "an instance restores the prefix-cache estimates at its start when no other instance runs")
 {
     GatewayFixture fixture;
     fixture.addWorker("w-1", "llm");
@@ -76,7 +77,7 @@
     CHECK(GatewayFixture::eventually([&] { return fixture.store.count("keyed.beliefs") > 0; }));
     first.kill();
     auto &second = fixture.startGateway({"edge-2", 5'000, 8});
-    // The request's two parts, at the engine that read them.
+    // The two parts of the request, at the engine that processed them.
     CHECK(second.awaitLine("snapshot_taken").find("\"parts\":\"2\"") != std::string::npos);
     CHECK(fixture.send(GatewayFixture::streamRequest("/streams/a", "id-2")).status == 200);
     const auto served = second.awaitLine("request_served");
@@ -94,7 +95,7 @@
         request.headers.remove("Authorization");
         request.headers.add("Authorization", "Bearer " + key);
         request.headers.add("X-Jujubesaddle-Cache-Salt", "of the caller");
-        // While the engine takes other weights, it serves nothing and this answers 503.
+        // The engine serves nothing while it loads other weights, and the answer is 503.
         fixture.send(std::move(request));
         return header(engine.requests().back(), "X-Jujubesaddle-Cache-Salt");
     };
@@ -111,7 +112,7 @@
     }));
 }
 
-TEST_CASE("configuration and list are followed over a lost history and an outage of the store")
+TEST_CASE("configuration and upstreams are followed after lost history and an outage of the store")
 {
     GatewayFixture fixture;
     fixture.addWorker("w-1", "app");
--- a/Tests/Platform/TestRequests.cpp
+++ b/Tests/Platform/TestRequests.cpp
@@ -29,7 +29,7 @@
     return std::string(response.headers.find(name).value_or(std::string_view()));
 }
 
-/// Ends the exchange without an answer, as a crashing worker does.
+/// Closes the connection without an answer, like a crashing worker.
 asio::awaitable<bool> crash(Http::ServerExchange &)
 {
     throw boost::system::system_error(asio::error::connection_reset);
@@ -52,8 +52,8 @@
     co_return true;
 }
 
-/// Sends one whole event and a part of the next, and breaks off.
-asio::awaitable<bool> breakAmidEvent(Http::ServerExchange &exchange)
+/// Sends one complete event and a part of the next, then closes the connection.
+asio::awaitable<bool> disconnectMidEvent(Http::ServerExchange &exchange)
 {
     co_await exchange.startStream(200, WorkerStandIn::answerHeaders(exchange.request()));
     co_await exchange.write("id: 1\ndata: 1\n\nid: 2\nda");
@@ -63,7 +63,7 @@
 
 } // namespace
 
-TEST_CASE("a request goes to a worker of its route with what the worker has to know")
+TEST_CASE("a request is sent to a worker of its route with the headers that the worker needs")
 {
     GatewayFixture fixture;
     auto &app = fixture.addWorker("w-app", "app");
@@ -116,7 +116,7 @@
     CHECK(denied.status == 401);
 }
 
-TEST_CASE("a key that was taken away stops working, and no older configuration brings it back")
+TEST_CASE("a revoked key stops working, and an older configuration does not restore it")
 {
     GatewayFixture fixture;
     auto &app = fixture.addWorker("w-app", "app");
@@ -134,7 +134,8 @@
     CHECK(app.runs() == runs);
 }
 
-TEST_CASE("without word from the store, keyed requests stop before a revocation may take effect")
+TEST_CASE(
+    "without answers from the store, requests with keys are refused before the revocation bound")
 {
     GatewayFixture fixture;
     auto &app = fixture.addWorker("w-app", "app");
@@ -153,7 +154,8 @@
     CHECK(fixture.send(GatewayFixture::request("/calls/a", "id-4")).status == 200);
 }
 
-TEST_CASE("bounds of a settings file that changes without a signal are taken, faulty ones are not")
+TEST_CASE(
+    "a settings file that changes without a signal is reloaded, and an invalid one is ignored")
 {
     GatewayFixture fixture;
     fixture.addWorker("w-app", "app");
@@ -208,23 +210,24 @@
     CHECK(header(answer, "X-Jujubesaddle-Server-Seal") == "seal");
 }
 
-TEST_CASE("a stream that breaks amid an event goes on at another engine behind the last whole one")
+TEST_CASE(
+    "a stream cut in the middle of an event resumes at another engine after the last whole event")
 {
     GatewayFixture fixture;
     auto &first = fixture.addWorker("w-1", "llm");
     auto &second = fixture.addWorker("w-2", "llm");
     fixture.configure(1);
     fixture.startGateway();
-    first.setBehaviour(breakAmidEvent);
+    first.setBehaviour(disconnectMidEvent);
     second.setBehaviour([&](Http::ServerExchange &exchange) -> asio::awaitable<bool> {
         if (!header(exchange.request(), "Last-Event-Id").empty())
             co_return false;
-        co_return co_await breakAmidEvent(exchange);
+        co_return co_await disconnectMidEvent(exchange);
     });
     first.setBehaviour([&](Http::ServerExchange &exchange) -> asio::awaitable<bool> {
         if (!header(exchange.request(), "Last-Event-Id").empty())
             co_return false;
-        co_return co_await breakAmidEvent(exchange);
+        co_return co_await disconnectMidEvent(exchange);
     });
     const auto answer = fixture.send(GatewayFixture::streamRequest("/streams/a", "id-1"));
     CHECK(answer.body == "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\n");
@@ -236,19 +239,20 @@
 {
     GatewayFixture fixture;
     auto &engine = fixture.addWorker("w-1", "llm");
-    fixture.addWorker("w-2", "llm").setBehaviour(breakAmidEvent);
-    engine.setBehaviour(breakAmidEvent);
+    fixture.addWorker("w-2", "llm").setBehaviour(disconnectMidEvent);
+    engine.setBehaviour(disconnectMidEvent);
     fixture.configure(1);
     fixture.startGateway();
     CHECK_THROWS_AS(fixture.send(GatewayFixture::streamRequest("/streams/once/a", "id-1")),
                     Core::Error);
 }
 
-TEST_CASE("a caller that leaves ends the work at its worker")
+TEST_CASE("a caller that disconnects ends the work at its worker")
 {
     GatewayFixture fixture;
     auto &app = fixture.addWorker("w-1", "app");
-    // The route's time is far longer than the test waits, so that it cannot end the work either.
+    // The timeout of the route is much longer than the test, so that it cannot end the work
+    // instead.
     fixture.configure(
         1,
         R"([{"Name":"views","Host":"a.example","PathPrefix":"/views/","Kind":"idempotent","TimeoutMs":600000,"TargetLatencyMs":300,"Priority":2,"Service":"app","MaxAttempts":2}])");
@@ -262,7 +266,8 @@
         ++left;
         co_return true;
     });
-    // The whole request lies there before the gateway reads, whose first readiness is then stale.
+    // The whole request arrives before the gateway starts to read, so that the first readiness
+    // notification of its socket is stale when the caller disconnects.
     for (int n = 0; n < 20; ++n) {
         asio::io_context context;
         asio::ip::tcp::socket socket(context);
@@ -277,7 +282,7 @@
     CHECK(GatewayFixture::eventually([&] { return left == 20; }));
 }
 
-TEST_CASE("a request that broke three workers is sent to no further one, at any instance")
+TEST_CASE("a request that made three workers fail is not sent to another one by any instance")
 {
     GatewayFixture fixture;
     auto &app = fixture.addWorker("w-1", "app");
@@ -301,7 +306,7 @@
     app.setBehaviour(nullptr);
 }
 
-TEST_CASE("a repeat whose route was dropped meanwhile ends with the failure of the attempt before")
+TEST_CASE("a retry whose route was removed meanwhile returns the failure of the previous attempt")
 {
     GatewayFixture fixture;
     auto &app = fixture.addWorker("w-1", "app");
@@ -321,7 +326,7 @@
     CHECK(gateway.isRunning());
 }
 
-TEST_CASE("a failure without another free worker is told as it was, and the process goes on")
+TEST_CASE("a failure without another free worker is returned as it is, and the process continues")
 {
     GatewayFixture fixture;
     fixture.addWorker("w-1", "app").setBehaviour(crash);
@@ -337,13 +342,13 @@
     fixture.addWorker("w-1", "app");
     fixture.configure(1);
     auto &gateway = fixture.startGateway();
-    // The client keeps its connection; the process ends without waiting for it.
+    // The client keeps its connection open; the process exits without waiting for it.
     CHECK(fixture.send(GatewayFixture::request("/calls/a", "id-1")).status == 200);
     gateway.signal(SIGTERM);
     CHECK(gateway.wait() == 0);
 }
 
-TEST_CASE("late in the grace new requests are refused as not run, and running ones finish")
+TEST_CASE("late in the grace period new requests are refused as not run, and running ones finish")
 {
     GatewayFixture fixture;
     auto &app = fixture.addWorker("w-1", "app");
@@ -377,7 +382,7 @@
     CHECK(gateway.wait() == 0);
 }
 
-TEST_CASE("on SIGTERM the instance stops being ready, finishes its streams and ends with 0")
+TEST_CASE("on SIGTERM the instance stops being ready, finishes its streams and exits with 0")
 {
     GatewayFixture fixture;
     auto &engine = fixture.addWorker("w-1", "llm");
