--- a/Libraries/LibAccounting/Settlement.cpp
+++ b/Libraries/LibAccounting/Settlement.cpp
@@ -11,10 +11,11 @@
 struct OwnedCapacity
 {
     Core::TeamId owner;
-    SlotMicroseconds left = 0;
+    SlotMicroseconds remaining = 0;
 };
 
-std::vector<OwnedCapacity> divide(SlotMicroseconds capacity, std::span<const OwnedShare> shares)
+std::vector<OwnedCapacity> divideByOwner(SlotMicroseconds capacity,
+                                         std::span<const OwnedShare> shares)
 {
     std::vector<std::uint64_t> weights;
     std::uint64_t owned = 0;
@@ -35,15 +36,15 @@
 void lend(std::vector<OwnedCapacity> &owners, const Core::TeamId &user, SlotMicroseconds amount,
           Settlement &settlement)
 {
-    std::vector<std::uint64_t> left;
-    left.reserve(owners.size());
+    std::vector<std::uint64_t> remaining;
+    remaining.reserve(owners.size());
     for (const auto &it : owners)
-        left.push_back(it.left);
-    const auto parts = apportion(amount, left);
+        remaining.push_back(it.remaining);
+    const auto parts = apportion(amount, remaining);
     for (std::size_t n = 0; n < owners.size(); ++n) {
         if (parts[n] == 0)
             continue;
-        owners[n].left -= parts[n];
+        owners[n].remaining -= parts[n];
         settlement.served.push_back({owners[n].owner, user, parts[n]});
     }
 }
@@ -59,12 +60,12 @@
     if (total == 0)
         return parts;
     Wide weightSoFar = 0;
-    std::uint64_t givenSoFar = 0;
+    std::uint64_t assignedSoFar = 0;
     for (std::size_t n = 0; n < weights.size(); ++n) {
         weightSoFar += weights[n];
-        const auto upTo = static_cast<std::uint64_t>(amount * weightSoFar / total);
-        parts[n] = upTo - givenSoFar;
-        givenSoFar = upTo;
+        const auto assignedUpToHere = static_cast<std::uint64_t>(amount * weightSoFar / total);
+        parts[n] = assignedUpToHere - assignedSoFar;
+        assignedSoFar = assignedUpToHere;
     }
     return parts;
 }
@@ -73,32 +74,32 @@
                   std::span<const TeamUse> uses)
 {
     Settlement settlement;
-    auto owners = divide(capacity, shares);
-    std::vector<SlotMicroseconds> beyond(uses.size(), 0);
+    auto owners = divideByOwner(capacity, shares);
+    std::vector<SlotMicroseconds> excess(uses.size(), 0);
     for (std::size_t n = 0; n < uses.size(); ++n) {
-        beyond[n] = uses[n].slots;
+        excess[n] = uses[n].slots;
         const auto own = std::find_if(owners.begin(), owners.end(),
                                       [&](const auto &it) { return it.owner == uses[n].team; });
         if (own == owners.end() || uses[n].team.isEmpty())
             continue;
-        const auto used = std::min(own->left, uses[n].slots);
+        const auto used = std::min(own->remaining, uses[n].slots);
         if (used == 0)
             continue;
-        own->left -= used;
-        beyond[n] -= used;
+        own->remaining -= used;
+        excess[n] -= used;
         settlement.served.push_back({own->owner, uses[n].team, used});
     }
-    const auto wanted = std::accumulate(beyond.begin(), beyond.end(), SlotMicroseconds(0));
-    SlotMicroseconds left = 0;
+    const auto totalExcess = std::accumulate(excess.begin(), excess.end(), SlotMicroseconds(0));
+    SlotMicroseconds remaining = 0;
     for (const auto &it : owners)
-        left += it.left;
-    const auto granted = apportion(std::min(wanted, left), beyond);
+        remaining += it.remaining;
+    const auto lent = apportion(std::min(totalExcess, remaining), excess);
     for (std::size_t n = 0; n < uses.size(); ++n)
-        lend(owners, uses[n].team, granted[n], settlement);
-    settlement.overrun = wanted - std::min(wanted, left);
+        lend(owners, uses[n].team, lent[n], settlement);
+    settlement.overrun = totalExcess - std::min(totalExcess, remaining);
     for (const auto &it : owners) {
-        if (it.left > 0)
-            settlement.idle.push_back({it.owner, it.left});
+        if (it.remaining > 0)
+            settlement.idle.push_back({it.owner, it.remaining});
     }
     return settlement;
 }
--- a/Libraries/LibAccounting/UsageLedger.cpp
+++ b/Libraries/LibAccounting/UsageLedger.cpp
@@ -51,7 +51,7 @@
     sum.tokens += use.tokens;
 }
 
-std::vector<TeamUse> listed(const std::map<Core::TeamId, TeamUse> &uses)
+std::vector<TeamUse> toVector(const std::map<Core::TeamId, TeamUse> &uses)
 {
     std::vector<TeamUse> list;
     list.reserve(uses.size());
@@ -60,17 +60,17 @@
     return list;
 }
 
-std::int64_t stretchOf(Core::Clock::Wall time, std::chrono::seconds stretch)
+std::int64_t intervalOf(Core::Clock::Wall time, std::chrono::seconds interval)
 {
     const auto since = std::chrono::duration_cast<std::chrono::seconds>(time.time_since_epoch());
-    return since / stretch;
+    return since / interval;
 }
 
 } // namespace
 
-UsageLedger::UsageLedger(ShareLookup shares, std::chrono::seconds stretch)
+UsageLedger::UsageLedger(ShareLookup shares, std::chrono::seconds interval)
     : m_shares(std::move(shares))
-    , m_stretch(std::max(stretch, std::chrono::seconds(1)))
+    , m_interval(std::max(interval, std::chrono::seconds(1)))
 { }
 
 Core::Result<void> UsageLedger::apply(std::string_view bytes)
@@ -95,20 +95,20 @@
 {
     UsageReport report;
     std::map<Core::UpstreamGroupId, GroupSum> groups;
-    const auto first = stretchOf(from, m_stretch);
-    const auto last = stretchOf(to, m_stretch);
-    for (const auto &[key, stretch] : m_stretches) {
-        if (key.stretch < first || key.stretch >= last)
+    const auto first = intervalOf(from, m_interval);
+    const auto last = intervalOf(to, m_interval);
+    for (const auto &[key, interval] : m_intervals) {
+        if (key.interval < first || key.interval >= last)
             continue;
         auto &group = groups[key.group];
-        group.capacity += stretch.capacity;
-        const auto uses = listed(stretch.uses);
-        group.settlement.add(settle(stretch.capacity, m_shares(key.group, key.generation), uses));
+        group.capacity += interval.capacity;
+        const auto uses = toVector(interval.uses);
+        group.settlement.add(settle(interval.capacity, m_shares(key.group, key.generation), uses));
         for (const auto &use : uses)
             addUse(group.uses, use);
     }
     for (const auto &[id, sum] : groups)
-        report.groups.push_back({id, sum.capacity, sum.settlement.result(), listed(sum.uses)});
+        report.groups.push_back({id, sum.capacity, sum.settlement.result(), toVector(sum.uses)});
     for (const auto &[source, state] : m_sources)
         addGaps(source, state, report);
     return report;
@@ -127,11 +127,11 @@
 
 void UsageLedger::add(const UsageRecord &record)
 {
-    auto &stretch =
-        m_stretches[{record.group, stretchOf(record.start, m_stretch), record.generation}];
-    stretch.capacity += record.capacity;
+    auto &interval =
+        m_intervals[{record.group, intervalOf(record.start, m_interval), record.generation}];
+    interval.capacity += record.capacity;
     for (const auto &use : record.uses)
-        addUse(stretch.uses, use);
+        addUse(interval.uses, use);
 }
 
 void UsageLedger::addGaps(const Source &source, const SourceState &state, UsageReport &report)
--- a/Libraries/LibAccounting/UsageLedger.h
+++ b/Libraries/LibAccounting/UsageLedger.h
@@ -60,7 +60,7 @@
 {
 public:
     /// `stretch` is the time over which lending is settled.
-    UsageLedger(ShareLookup shares, std::chrono::seconds stretch);
+    UsageLedger(ShareLookup shares, std::chrono::seconds interval);
 
     /// Takes one log record. Errors: FrameInvalid; the account is then unchanged.
     Core::Result<void> apply(std::string_view bytes);
@@ -69,18 +69,18 @@
     UsageReport report(Core::Clock::Wall from, Core::Clock::Wall to) const;
 
 private:
-    struct StretchKey
+    struct IntervalKey
     {
         Core::UpstreamGroupId group;
-        std::int64_t stretch = 0;
+        std::int64_t interval = 0;
         std::uint64_t generation = 0;
-        friend bool operator<(const StretchKey &a, const StretchKey &b)
+        friend bool operator<(const IntervalKey &a, const IntervalKey &b)
         {
-            return std::tie(a.group, a.stretch, a.generation)
-                   < std::tie(b.group, b.stretch, b.generation);
+            return std::tie(a.group, a.interval, a.generation)
+                   < std::tie(b.group, b.interval, b.generation);
         }
     };
-    struct Stretch
+    struct IntervalUsage
     {
         SlotMicroseconds capacity = 0;
         std::map<Core::TeamId, TeamUse> uses;
@@ -108,8 +108,8 @@
     static void addGaps(const Source &source, const SourceState &state, UsageReport &report);
 
     const ShareLookup m_shares;
-    const std::chrono::seconds m_stretch;
-    std::map<StretchKey, Stretch> m_stretches;
+    const std::chrono::seconds m_interval;
+    std::map<IntervalKey, IntervalUsage> m_intervals;
     std::map<Source, SourceState> m_sources;
 };
 
--- a/Libraries/LibAccounting/UsageMeter.cpp
+++ b/Libraries/LibAccounting/UsageMeter.cpp
@@ -65,18 +65,18 @@
 void UsageMeter::advance(GroupState &state) const
 {
     const auto now = monotonicNow();
-    if (!state.since) {
-        state.since = now;
+    if (!state.accountedUntil) {
+        state.accountedUntil = now;
         state.intervalStart = now;
         state.wallStart = m_clock.wallNow();
     }
     // Two threads may have read the clock in the other order than they took the lock.
-    const auto elapsed = std::max(std::chrono::microseconds(0), now - *state.since);
+    const auto elapsed = std::max(std::chrono::microseconds(0), now - *state.accountedUntil);
     const auto micros = static_cast<std::uint64_t>(elapsed.count());
     state.capacity += state.share * micros;
     for (auto &[team, it] : state.teams)
         it.slots += it.running * micros;
-    *state.since += elapsed;
+    *state.accountedUntil += elapsed;
 }
 
 UsageRecord UsageMeter::close(const Core::UpstreamGroupId &group, GroupState &state,
@@ -85,7 +85,7 @@
     UsageRecord record {.group = group,
                         .generation = generation,
                         .start = state.wallStart,
-                        .length = *state.since - state.intervalStart,
+                        .length = *state.accountedUntil - state.intervalStart,
                         .capacity = state.capacity,
                         .uses = {}};
     for (auto &[team, it] : state.teams) {
@@ -96,7 +96,7 @@
     }
     std::erase_if(state.teams, [](const auto &it) { return it.second.running == 0; });
     state.capacity = 0;
-    state.intervalStart = *state.since;
+    state.intervalStart = *state.accountedUntil;
     state.wallStart += std::chrono::duration_cast<Core::Clock::Wall::duration>(record.length);
     return record;
 }
--- a/Libraries/LibAccounting/UsageMeter.h
+++ b/Libraries/LibAccounting/UsageMeter.h
@@ -42,7 +42,7 @@
         std::uint32_t share = 0;
         SlotMicroseconds capacity = 0;
         std::map<Core::TeamId, TeamState> teams;
-        std::optional<std::chrono::microseconds> since;
+        std::optional<std::chrono::microseconds> accountedUntil;
         std::chrono::microseconds intervalStart {0};
         Core::Clock::Wall wallStart;
     };
--- a/Libraries/LibAccounting/UsageOutbox.cpp
+++ b/Libraries/LibAccounting/UsageOutbox.cpp
@@ -13,60 +13,60 @@
 {
     std::scoped_lock lock(m_mutex);
     for (auto &record : records) {
-        const auto same = std::find_if(m_waiting.begin(), m_waiting.end(), [&](const auto &it) {
+        const auto existing = std::find_if(m_unsent.begin(), m_unsent.end(), [&](const auto &it) {
             return it.group == record.group && it.generation == record.generation;
         });
-        if (same == m_waiting.end())
-            m_waiting.push_back(std::move(record));
+        if (existing == m_unsent.end())
+            m_unsent.push_back(std::move(record));
         else
-            *same = joined(*same, record);
+            *existing = merged(*existing, record);
     }
 }
 
 std::optional<std::string> UsageOutbox::nextBatch(bool isLast)
 {
     std::scoped_lock lock(m_mutex);
-    if (m_sent)
-        return m_sent;
-    if (m_waiting.empty() && !isLast)
+    if (m_unacknowledged)
+        return m_unacknowledged;
+    if (m_unsent.empty() && !isLast)
         return std::nullopt;
-    for (auto &record : m_waiting)
+    for (auto &record : m_unsent)
         record.sequence = ++m_lastSequence;
-    m_sentRecords = m_waiting.size();
-    UsageBatch batch {m_instance, m_incarnation, isLast, std::move(m_waiting)};
-    m_waiting.clear();
-    m_sent = encode(batch);
-    return m_sent;
+    m_unacknowledgedRecords = m_unsent.size();
+    UsageBatch batch {m_instance, m_incarnation, isLast, std::move(m_unsent)};
+    m_unsent.clear();
+    m_unacknowledged = encode(batch);
+    return m_unacknowledged;
 }
 
 void UsageOutbox::noteAppended()
 {
     std::scoped_lock lock(m_mutex);
-    m_sent.reset();
-    m_sentRecords = 0;
+    m_unacknowledged.reset();
+    m_unacknowledgedRecords = 0;
 }
 
 std::size_t UsageOutbox::pending() const
 {
     std::scoped_lock lock(m_mutex);
-    return m_waiting.size() + m_sentRecords;
+    return m_unsent.size() + m_unacknowledgedRecords;
 }
 
-UsageRecord joined(const UsageRecord &first, const UsageRecord &second)
+UsageRecord merged(const UsageRecord &first, const UsageRecord &second)
 {
     UsageRecord sum = first;
     sum.start = std::min(first.start, second.start);
     sum.length += second.length;
     sum.capacity += second.capacity;
     for (const auto &use : second.uses) {
-        const auto same = std::find_if(sum.uses.begin(), sum.uses.end(),
-                                       [&](const auto &it) { return it.team == use.team; });
-        if (same == sum.uses.end()) {
+        const auto existing = std::find_if(sum.uses.begin(), sum.uses.end(),
+                                           [&](const auto &it) { return it.team == use.team; });
+        if (existing == sum.uses.end()) {
             sum.uses.push_back(use);
             continue;
         }
-        same->slots += use.slots;
-        same->tokens += use.tokens;
+        existing->slots += use.slots;
+        existing->tokens += use.tokens;
     }
     return sum;
 }
--- a/Libraries/LibAccounting/UsageOutbox.h
+++ b/Libraries/LibAccounting/UsageOutbox.h
@@ -36,12 +36,12 @@
     const std::uint64_t m_incarnation;
     mutable std::mutex m_mutex;
     std::uint64_t m_lastSequence = 0;
-    std::vector<UsageRecord> m_waiting;
-    std::optional<std::string> m_sent;
-    std::size_t m_sentRecords = 0;
+    std::vector<UsageRecord> m_unsent;
+    std::optional<std::string> m_unacknowledged;
+    std::size_t m_unacknowledgedRecords = 0;
 };
 
 /// Joins two records of one group and one configuration into one from the earlier start.
-UsageRecord joined(const UsageRecord &first, const UsageRecord &second);
+UsageRecord merged(const UsageRecord &first, const UsageRecord &second);
 
 } // namespace Accounting
--- a/Libraries/LibClaims/AnswerStore.cpp
+++ b/Libraries/LibClaims/AnswerStore.cpp
@@ -11,19 +11,19 @@
 
 } // namespace
 
-void AnswerStore::setState(const AttemptId &attempt, HolderState state, IssueTime forgetAt)
+void AnswerStore::setState(const AttemptId &attempt, HolderState state, IssueTime expiresAt)
 {
-    m_attempts[attempt] = {{state, nullptr}, forgetAt};
+    m_attempts[attempt] = {{state, nullptr}, expiresAt};
 }
 
-void AnswerStore::finish(const AttemptId &attempt, AnswerPointer answer, IssueTime forgetAt)
+void AnswerStore::finish(const AttemptId &attempt, AnswerPointer answer, IssueTime expiresAt)
 {
     auto &entry = m_attempts[attempt];
     dropAnswer(entry);
     m_bytes += answer ? sizeOf(*answer) : 0;
-    entry = {{HolderState::Finished, std::move(answer)}, forgetAt};
+    entry = {{HolderState::Finished, std::move(answer)}, expiresAt};
     m_answered.push_back(attempt);
-    while (m_bytes > m_limit && !m_answered.empty()) {
+    while (m_bytes > m_maxAnswerBytes && !m_answered.empty()) {
         const auto oldest = m_attempts.find(m_answered.front());
         if (oldest != m_attempts.end())
             dropAnswer(oldest->second);
@@ -40,7 +40,7 @@
 void AnswerStore::expire(std::chrono::system_clock::time_point now)
 {
     for (auto it = m_attempts.begin(); it != m_attempts.end();) {
-        if (it->second.forgetAt >= now) {
+        if (it->second.expiresAt >= now) {
             ++it;
             continue;
         }
--- a/Libraries/LibClaims/AnswerStore.h
+++ b/Libraries/LibClaims/AnswerStore.h
@@ -17,12 +17,12 @@
 {
 public:
     explicit AnswerStore(std::size_t answerBytes)
-        : m_limit(answerBytes)
+        : m_maxAnswerBytes(answerBytes)
     { }
 
-    void setState(const AttemptId &attempt, HolderState state, IssueTime forgetAt);
+    void setState(const AttemptId &attempt, HolderState state, IssueTime expiresAt);
     /// Marks the attempt as finished with its answer.
-    void finish(const AttemptId &attempt, AnswerPointer answer, IssueTime forgetAt);
+    void finish(const AttemptId &attempt, AnswerPointer answer, IssueTime expiresAt);
     /// Empty for an attempt that never held a key, or whose key is forgotten.
     std::optional<HolderReply> find(const AttemptId &attempt) const;
     /// Drops everything whose time has come.
@@ -35,12 +35,12 @@
     struct Entry
     {
         HolderReply reply;
-        IssueTime forgetAt;
+        IssueTime expiresAt;
     };
 
     void dropAnswer(Entry &entry);
 
-    std::size_t m_limit;
+    std::size_t m_maxAnswerBytes;
     std::size_t m_bytes = 0;
     std::unordered_map<AttemptId, Entry> m_attempts;
     /// Attempts with an answer, the oldest first.
--- a/Libraries/LibClaims/ClaimAttempt.cpp
+++ b/Libraries/LibClaims/ClaimAttempt.cpp
@@ -19,7 +19,7 @@
     return {answer, true, std::nullopt, ExecutionStatus::NotRun, ExecutionStatus::Run};
 }
 
-ExecutionStatus fateOf(HolderState state)
+ExecutionStatus executionStatusOf(HolderState state)
 {
     if (state == HolderState::Finished)
         return ExecutionStatus::Run;
@@ -37,7 +37,7 @@
 ClaimAttempt::Steps ClaimAttempt::start(Core::Clock::Monotonic now)
 {
     m_startedAt = now;
-    return enter(now);
+    return claimOrAsk(now);
 }
 
 ClaimAttempt::Steps ClaimAttempt::startClose(ErrorKind refusal, Core::Clock::Monotonic now)
@@ -47,7 +47,7 @@
     return closeKey(refusal, now);
 }
 
-ClaimAttempt::Steps ClaimAttempt::enter(Core::Clock::Monotonic now)
+ClaimAttempt::Steps ClaimAttempt::claimOrAsk(Core::Clock::Monotonic now)
 {
     const auto view = m_hooks.lookUp();
     const bool decided = view && view->state != KeyState::Free && view->certain;
@@ -59,10 +59,10 @@
     }
     m_state = State::Asking;
     if (view->digest != m_call.digest || view->issuedAt != m_call.key.issuedAt)
-        return askStatus(ErrorKind::KeyConflict, view->holding);
+        return refuseWithKeyStatus(ErrorKind::KeyConflict, view->holding);
     if (view->state == KeyState::Closed)
         return answer(refused(ErrorKind::KeyClosed, ExecutionStatus::NotRun));
-    m_knownRun = view->state == KeyState::Finished;
+    m_hasKeyRun = view->state == KeyState::Finished;
     return ask(*view->holding);
 }
 
@@ -73,34 +73,34 @@
             return answer(refused(m_refusal, ExecutionStatus::NotRun));
         if (verdict.kind == VerdictKind::Expired)
             return answer(refused(ErrorKind::KeyExpired, ExecutionStatus::Unknown));
-        return askStatus(m_refusal, verdict.holding);
+        return refuseWithKeyStatus(m_refusal, verdict.holding);
     }
     if (m_state != State::Claiming)
         return {};
     switch (verdict.kind) {
     case VerdictKind::Won:
         if (now >= m_deadline)
-            return giveUp(ErrorKind::LogUnavailable);
+            return voidAndRefuse(ErrorKind::LogUnavailable);
         m_state = State::Sending;
         return {SendStep {m_id}};
     case VerdictKind::Lost:
         return ask(*verdict.holding);
     case VerdictKind::KeyFinished:
-        m_knownRun = true;
+        m_hasKeyRun = true;
         return ask(*verdict.holding);
     case VerdictKind::Conflict:
-        return askStatus(ErrorKind::KeyConflict, verdict.holding);
+        return refuseWithKeyStatus(ErrorKind::KeyConflict, verdict.holding);
     case VerdictKind::KeyClosed:
         return answer(refused(ErrorKind::KeyClosed, ExecutionStatus::NotRun));
     case VerdictKind::Expired:
         return answer(refused(ErrorKind::KeyExpired, ExecutionStatus::Unknown));
     case VerdictKind::InFuture:
         // A repeated append may bring the same claim again when its time has come.
-        return giveUp(ErrorKind::IssueTimeInFuture);
-    case VerdictKind::Dead:
+        return voidAndRefuse(ErrorKind::IssueTimeInFuture);
+    case VerdictKind::AttemptEnded:
         return answer(refused(ErrorKind::LogUnavailable, ExecutionStatus::Unknown));
     case VerdictKind::Uncertain:
-        return giveUp(ErrorKind::KeyOutcomeUnknown);
+        return voidAndRefuse(ErrorKind::KeyOutcomeUnknown);
     }
     return {};
 }
@@ -110,8 +110,8 @@
 {
     if (m_state != State::Asking)
         return {};
-    if (m_statusOnly)
-        return onFateReply(reply.state, now);
+    if (m_statusOnlyRefusal)
+        return onStatusReply(reply.state, now);
     switch (reply.state) {
     case HolderState::Finished:
         if (reply.answer)
@@ -123,10 +123,10 @@
     case HolderState::GivenUp:
         return waitOrAnswer(refused(ErrorKind::KeyInProgress, ExecutionStatus::Unknown), now);
     case HolderState::Unreachable:
-        return waitOrAnswer(holderSilent(), now);
+        return waitOrAnswer(outcomeWithoutHolder(), now);
     case HolderState::OutcomeLost:
     case HolderState::Gone:
-        return answer(holderSilent());
+        return answer(outcomeWithoutHolder());
     }
     return {};
 }
@@ -154,14 +154,15 @@
         return {};
     switch (m_state) {
     case State::Claiming:
-        return giveUp(ErrorKind::LogUnavailable);
+        return voidAndRefuse(ErrorKind::LogUnavailable);
     case State::Closing:
         return answer(refused(m_refusal, ExecutionStatus::Unknown));
     case State::Waiting:
-        return m_statusOnly ? askStatus(*m_statusOnly, currentHolding()) : enter(now);
+        return m_statusOnlyRefusal ? refuseWithKeyStatus(*m_statusOnlyRefusal, currentHolding())
+                                   : claimOrAsk(now);
     case State::Asking:
-        return answer(m_statusOnly ? refused(*m_statusOnly, ExecutionStatus::Unknown)
-                                   : holderSilent());
+        return answer(m_statusOnlyRefusal ? refused(*m_statusOnlyRefusal, ExecutionStatus::Unknown)
+                                          : outcomeWithoutHolder());
     case State::Sending:
     case State::Done:
         return {};
@@ -176,7 +177,7 @@
     case State::Closing:
         return m_deadline;
     case State::Waiting:
-        return m_wakeAt;
+        return m_askAgainAt;
     case State::Asking:
         return m_startedAt + m_settings.holderTimeout;
     case State::Sending:
@@ -193,20 +194,20 @@
 }
 
 // The call is refused whatever the holder says; only the key's status is asked for.
-ClaimAttempt::Steps ClaimAttempt::askStatus(ErrorKind refusal,
-                                            const std::optional<Holding> &holding)
+ClaimAttempt::Steps ClaimAttempt::refuseWithKeyStatus(ErrorKind refusal,
+                                                      const std::optional<Holding> &holding)
 {
     if (!holding)
         return answer(refused(refusal, ExecutionStatus::Unknown));
-    m_statusOnly = refusal;
+    m_statusOnlyRefusal = refusal;
     return ask(*holding);
 }
 
-ClaimAttempt::Steps ClaimAttempt::onFateReply(HolderState state, Core::Clock::Monotonic now)
+ClaimAttempt::Steps ClaimAttempt::onStatusReply(HolderState state, Core::Clock::Monotonic now)
 {
-    const auto outcome = refused(*m_statusOnly, fateOf(state));
-    const bool mayTell = state == HolderState::Deciding || state == HolderState::Unreachable;
-    return mayTell ? waitOrAnswer(outcome, now) : answer(outcome);
+    const auto outcome = refused(*m_statusOnlyRefusal, executionStatusOf(state));
+    const bool isTransient = state == HolderState::Deciding || state == HolderState::Unreachable;
+    return isTransient ? waitOrAnswer(outcome, now) : answer(outcome);
 }
 
 std::optional<Holding> ClaimAttempt::currentHolding() const
@@ -215,7 +216,7 @@
     return view ? view->holding : std::nullopt;
 }
 
-ClaimAttempt::Steps ClaimAttempt::giveUp(ErrorKind refusal)
+ClaimAttempt::Steps ClaimAttempt::voidAndRefuse(ErrorKind refusal)
 {
     Steps steps {AppendStep {RecordKind::Void, m_id}};
     const auto last = answer(refused(refusal, ExecutionStatus::Unknown));
@@ -234,11 +235,11 @@
 
 ClaimAttempt::Steps ClaimAttempt::waitOrAnswer(const Outcome &outcome, Core::Clock::Monotonic now)
 {
-    const auto wakeAt = now + m_settings.askInterval;
-    if (wakeAt >= m_startedAt + m_settings.holderTimeout)
+    const auto askAgainAt = now + m_settings.askInterval;
+    if (askAgainAt >= m_startedAt + m_settings.holderTimeout)
         return answer(outcome);
     m_state = State::Waiting;
-    m_wakeAt = wakeAt;
+    m_askAgainAt = askAgainAt;
     return {};
 }
 
@@ -248,9 +249,9 @@
     return {AnswerStep {std::move(outcome)}};
 }
 
-Outcome ClaimAttempt::holderSilent() const
+Outcome ClaimAttempt::outcomeWithoutHolder() const
 {
-    if (m_knownRun)
+    if (m_hasKeyRun)
         return refused(ErrorKind::AnswerNotKept, ExecutionStatus::Run);
     return refused(ErrorKind::KeyOutcomeUnknown, ExecutionStatus::Unknown);
 }
--- a/Libraries/LibClaims/ClaimAttempt.h
+++ b/Libraries/LibClaims/ClaimAttempt.h
@@ -85,16 +85,16 @@
         Done,
     };
 
-    Steps enter(Core::Clock::Monotonic now);
+    Steps claimOrAsk(Core::Clock::Monotonic now);
     Steps ask(const Holding &holding);
-    Steps askStatus(Core::ErrorKind refusal, const std::optional<Holding> &holding);
-    Steps onFateReply(HolderState state, Core::Clock::Monotonic now);
+    Steps refuseWithKeyStatus(Core::ErrorKind refusal, const std::optional<Holding> &holding);
+    Steps onStatusReply(HolderState state, Core::Clock::Monotonic now);
     std::optional<Holding> currentHolding() const;
-    Steps giveUp(Core::ErrorKind refusal);
+    Steps voidAndRefuse(Core::ErrorKind refusal);
     Steps closeKey(Core::ErrorKind refusal, Core::Clock::Monotonic now);
     Steps waitOrAnswer(const Outcome &outcome, Core::Clock::Monotonic now);
     Steps answer(Outcome outcome);
-    Outcome holderSilent() const;
+    Outcome outcomeWithoutHolder() const;
 
     Call m_call;
     const ClaimSettings &m_settings;
@@ -105,10 +105,10 @@
     /// When the present state is given up.
     Core::Clock::Monotonic m_deadline {};
     /// When a waiting call asks again.
-    Core::Clock::Monotonic m_wakeAt {};
-    bool m_knownRun = false;
+    Core::Clock::Monotonic m_askAgainAt {};
+    bool m_hasKeyRun = false;
     /// Set when the holder is asked for the key's status alone.
-    std::optional<Core::ErrorKind> m_statusOnly;
+    std::optional<Core::ErrorKind> m_statusOnlyRefusal;
     Core::ErrorKind m_refusal = Core::ErrorKind::UpstreamUnreachable;
 };
 
--- a/Libraries/LibClaims/ClaimCodec.cpp
+++ b/Libraries/LibClaims/ClaimCodec.cpp
@@ -28,7 +28,7 @@
     const auto kind = static_cast<RecordKind>(record.kind());
     if (kind < RecordKind::Claim || kind > RecordKind::Finished)
         return std::nullopt;
-    if (record.key()->size() == 0 || record.key()->size() > MaximumKeyBytes)
+    if (record.key()->size() == 0 || record.key()->size() > MaxKeyBytes)
         return std::nullopt;
     const IssueTime issuedAt {std::chrono::milliseconds(record.issued_at_ms())};
     return ClaimRecord {
--- a/Libraries/LibClaims/ClaimCoordinator.cpp
+++ b/Libraries/LibClaims/ClaimCoordinator.cpp
@@ -15,10 +15,10 @@
 
 namespace Asio = boost::asio;
 
-constexpr std::size_t PageRecords = 256;
-constexpr std::chrono::milliseconds ReadWait {1000};
+constexpr std::size_t MaxPageRecords = 256;
+constexpr std::chrono::milliseconds MaxReadWait {1000};
 constexpr std::chrono::milliseconds ReadRetryDelay {200};
-constexpr std::chrono::milliseconds LongestTimerWait {1000};
+constexpr std::chrono::milliseconds MaxTimerWait {1000};
 
 Asio::awaitable<void> sleepFor(std::chrono::milliseconds time)
 {
@@ -41,8 +41,9 @@
 ClaimCoordinator::create(Asio::any_io_executor executor, const ClaimSettings &settings, Holder self,
                          Platform::LogService &log, const Core::Clock &clock, AskHolder askHolder)
 {
-    if (settings.partitions == 0 || settings.batch.records == 0 || settings.batch.inFlight == 0
-        || settings.batch.appendsPerSecond <= 0 || settings.batch.appendBurst < 1)
+    if (settings.partitions == 0 || settings.batch.maxRecords == 0
+        || settings.batch.maxInFlight == 0 || settings.batch.appendsPerSecond <= 0
+        || settings.batch.appendBurst < 1)
         return Core::Error(Core::ErrorKind::SettingsInvalid, "claim partitions or batches");
     return std::shared_ptr<ClaimCoordinator>(new ClaimCoordinator(
         std::move(executor), settings, std::move(self), log, clock, std::move(askHolder)));
@@ -77,15 +78,15 @@
 {
     const auto id = m_nextCall++;
     auto mailbox = registerCall(id, std::move(sendOnce));
-    feed([&](ClaimEngine &engine) { return engine.begin(id, call); });
+    processEvent([&](ClaimEngine &engine) { return engine.begin(id, call); });
     co_return co_await mailbox->async_receive(Asio::use_awaitable);
 }
 
-Asio::awaitable<Outcome> ClaimCoordinator::refuseForGood(Call call, Core::ErrorKind refusal)
+Asio::awaitable<Outcome> ClaimCoordinator::closeAndRefuse(Call call, Core::ErrorKind refusal)
 {
     const auto id = m_nextCall++;
     auto mailbox = registerCall(id, {});
-    feed([&](ClaimEngine &engine) { return engine.beginClose(id, call, refusal); });
+    processEvent([&](ClaimEngine &engine) { return engine.beginClose(id, call, refusal); });
     co_return co_await mailbox->async_receive(Asio::use_awaitable);
 }
 
@@ -103,7 +104,7 @@
 
 void ClaimCoordinator::lateAnswer(const ClaimKey &key, const AnswerPointer &answer)
 {
-    feed([&](ClaimEngine &engine) { return engine.onLateAnswer(key, answer); });
+    processEvent([&](ClaimEngine &engine) { return engine.onLateAnswer(key, answer); });
 }
 
 bool ClaimCoordinator::isCaughtUp() const
@@ -140,8 +141,8 @@
 Asio::awaitable<void> ClaimCoordinator::readPartition(std::size_t partition)
 {
     while (!m_stopping) {
-        const bool isRead = co_await readOnce(partition);
-        if (!isRead)
+        const bool succeeded = co_await readOnce(partition);
+        if (!succeeded)
             co_await sleepFor(ReadRetryDelay);
     }
 }
@@ -151,16 +152,16 @@
     Platform::LogOffset from = 0;
     {
         std::scoped_lock lock(m_engineMutex);
-        from = m_engine.partition(partition).next();
+        from = m_engine.partition(partition).nextOffset();
     }
     auto stream = m_engine.streamName(partition);
     Platform::LogPage page;
     try {
-        page = co_await m_log.read(std::move(stream), from, PageRecords, ReadWait);
+        page = co_await m_log.read(std::move(stream), from, MaxPageRecords, MaxReadWait);
     } catch (const std::exception &) {
         co_return false;
     }
-    feed([&](ClaimEngine &engine) { return engine.onPage(partition, page); });
+    processEvent([&](ClaimEngine &engine) { return engine.onPage(partition, page); });
     co_return true;
 }
 
@@ -170,7 +171,7 @@
         m_timer.expires_after(armTimer());
         boost::system::error_code ec;
         co_await m_timer.async_wait(Asio::redirect_error(Asio::use_awaitable, ec));
-        feed([](ClaimEngine &engine) { return engine.onTimer(); });
+        processEvent([](ClaimEngine &engine) { return engine.onTimer(); });
     }
 }
 
@@ -182,7 +183,7 @@
     } catch (const std::exception &) {
         succeeded = false;
     }
-    feed([&](ClaimEngine &engine) { return engine.onAppendResult(batch.id, succeeded); });
+    processEvent([&](ClaimEngine &engine) { return engine.onAppendResult(batch.id, succeeded); });
 }
 
 Asio::awaitable<void> ClaimCoordinator::ask(AskAction action)
@@ -193,7 +194,7 @@
     } catch (const std::exception &) {
         reply = {HolderState::Unreachable, nullptr};
     }
-    feed([&](ClaimEngine &engine) { return engine.onHolderReply(action.call, reply); });
+    processEvent([&](ClaimEngine &engine) { return engine.onHolderReply(action.call, reply); });
 }
 
 Asio::awaitable<void> ClaimCoordinator::send(CallId id, SendOnce sendOnce)
@@ -204,10 +205,10 @@
     } catch (const std::exception &) {
         result = {SendState::OutcomeLost, nullptr, Core::ErrorKind::Internal};
     }
-    feed([&](ClaimEngine &engine) { return engine.onSendResult(id, result); });
+    processEvent([&](ClaimEngine &engine) { return engine.onSendResult(id, result); });
 }
 
-void ClaimCoordinator::feed(const std::function<ClaimActions(ClaimEngine &)> &event)
+void ClaimCoordinator::processEvent(const std::function<ClaimActions(ClaimEngine &)> &event)
 {
     ClaimActions actions;
     bool isEarlier = false;
@@ -217,7 +218,7 @@
         const auto due = m_engine.nextDeadline();
         isEarlier = due && *due < m_wakeAt;
     }
-    carryOut(std::move(actions));
+    execute(std::move(actions));
     if (isEarlier)
         wakeTimer();
 }
@@ -227,13 +228,13 @@
 {
     std::scoped_lock lock(m_engineMutex);
     const auto now = m_clock.now();
-    m_wakeAt = now + LongestTimerWait;
+    m_wakeAt = now + MaxTimerWait;
     if (const auto due = m_engine.nextDeadline())
         m_wakeAt = std::clamp(*due, now, m_wakeAt);
     return m_wakeAt - now;
 }
 
-void ClaimCoordinator::carryOut(ClaimActions actions)
+void ClaimCoordinator::execute(ClaimActions actions)
 {
     for (auto &action : actions) {
         if (auto *it = std::get_if<AppendBatch>(&action)) {
--- a/Libraries/LibClaims/ClaimCoordinator.h
+++ b/Libraries/LibClaims/ClaimCoordinator.h
@@ -48,7 +48,7 @@
     boost::asio::awaitable<Outcome> run(Call call, SendOnce sendOnce);
     /// Refuses a call and seals its key, so that the refusal promises that nothing will ever run.
     /// Costs an append: for refusals that a resend of the same key could not change.
-    boost::asio::awaitable<Outcome> refuseForGood(Call call, Core::ErrorKind refusal);
+    boost::asio::awaitable<Outcome> closeAndRefuse(Call call, Core::ErrorKind refusal);
     /// The error for a call rejected early, with what is known of the key.
     Core::Error earlyRejection(Core::ErrorKind kind, const ClaimKey &key) const;
     /// What a sibling that asks is told.
@@ -84,9 +84,9 @@
     boost::asio::awaitable<void> append(AppendBatch batch);
     boost::asio::awaitable<void> ask(AskAction action);
     boost::asio::awaitable<void> send(CallId id, SendOnce sendOnce);
-    void feed(const std::function<ClaimActions(ClaimEngine &)> &event);
+    void processEvent(const std::function<ClaimActions(ClaimEngine &)> &event);
     std::chrono::nanoseconds armTimer();
-    void carryOut(ClaimActions actions);
+    void execute(ClaimActions actions);
     void spawn(const boost::asio::any_io_executor &executor,
                boost::asio::awaitable<void> coroutine);
     void startSending(CallId id);
--- a/Libraries/LibClaims/ClaimCounters.h
+++ b/Libraries/LibClaims/ClaimCounters.h
@@ -20,7 +20,7 @@
     /// Calls answered, and those among them whose key's status was given as unknown.
     std::atomic<std::uint64_t> outcomes {0};
     std::atomic<std::uint64_t> unknownKeys {0};
-    std::atomic<std::uint64_t> garbage {0};
+    std::atomic<std::uint64_t> malformed {0};
     std::atomic<std::uint64_t> rebuilds {0};
 };
 
--- a/Libraries/LibClaims/ClaimEngine.cpp
+++ b/Libraries/LibClaims/ClaimEngine.cpp
@@ -29,24 +29,24 @@
 {
     ClaimActions actions;
     if (rejectEarly(call, request, actions))
-        return finish(std::move(actions));
-    carryOut(call, addAttempt(call, request).start(m_clock.now()), actions);
-    return finish(std::move(actions));
+        return addDueAppends(std::move(actions));
+    execute(call, addAttempt(call, request).start(m_clock.now()), actions);
+    return addDueAppends(std::move(actions));
 }
 
 ClaimActions ClaimEngine::beginClose(CallId call, const Call &request, ErrorKind refusal)
 {
     ClaimActions actions;
     if (rejectEarly(call, request, actions))
-        return finish(std::move(actions));
-    carryOut(call, addAttempt(call, request).startClose(refusal, m_clock.now()), actions);
-    return finish(std::move(actions));
+        return addDueAppends(std::move(actions));
+    execute(call, addAttempt(call, request).startClose(refusal, m_clock.now()), actions);
+    return addDueAppends(std::move(actions));
 }
 
 ClaimActions ClaimEngine::onAppendResult(std::uint64_t batchId, bool succeeded)
 {
     m_writer.onResult(batchId, succeeded, m_clock.now());
-    return finish({});
+    return addDueAppends({});
 }
 
 ClaimActions ClaimEngine::onPage(std::size_t partition, const Platform::LogPage &page)
@@ -54,27 +54,27 @@
     ClaimActions actions;
     auto &reader = m_partitions[partition];
     const auto rebuilds = reader.rebuildCount();
-    const auto garbage = reader.garbageCount();
+    const auto malformed = reader.malformedCount();
     // The whole page is read before anything is answered, so that answers say all that it tells.
-    std::vector<std::pair<ClaimRecord, Verdict>> own;
+    std::vector<std::pair<ClaimRecord, Verdict>> ownRecords;
     reader.consume(page, m_clock.wallNow(), [&](const auto &record, const auto &verdict) {
         if (record.attempt.origin == m_origin)
-            own.emplace_back(record, verdict);
+            ownRecords.emplace_back(record, verdict);
     });
-    for (const auto &[record, verdict] : own)
+    for (const auto &[record, verdict] : ownRecords)
         onOwnRecord(record, verdict, actions);
-    noteFaults(partition, reader.rebuildCount() - rebuilds, reader.garbageCount() - garbage);
-    return finish(std::move(actions));
+    noteFaults(partition, reader.rebuildCount() - rebuilds, reader.malformedCount() - malformed);
+    return addDueAppends(std::move(actions));
 }
 
-void ClaimEngine::noteFaults(std::size_t partition, std::uint64_t rebuilds, std::uint64_t garbage)
+void ClaimEngine::noteFaults(std::size_t partition, std::uint64_t rebuilds, std::uint64_t malformed)
 {
     m_counters.rebuilds += rebuilds;
-    m_counters.garbage += garbage;
+    m_counters.malformed += malformed;
     const auto stream = streamName(partition);
     if (rebuilds > 0)
         Core::logEvent(Core::EventId::ClaimIndexRebuilt, {{"stream", stream}});
-    if (garbage > 0)
+    if (malformed > 0)
         Core::logEvent(Core::EventId::LogRecordInvalid, {{"stream", stream}});
 }
 
@@ -83,8 +83,8 @@
     ClaimActions actions;
     const auto it = m_calls.find(call);
     if (it != m_calls.end())
-        carryOut(call, it->second->onHolderReply(reply, m_clock.now()), actions);
-    return finish(std::move(actions));
+        execute(call, it->second->onHolderReply(reply, m_clock.now()), actions);
+    return addDueAppends(std::move(actions));
 }
 
 ClaimActions ClaimEngine::onSendResult(CallId call, const SendResult &result)
@@ -94,22 +94,22 @@
     if (it == m_calls.end())
         return actions;
     auto &attempt = *it->second;
-    const auto forgetAt = forgetTime(attempt.call().key);
+    const auto expiresAt = expiryTime(attempt.call().key);
     switch (result.state) {
     case SendState::Answered:
-        m_answers.finish(attempt.id(), result.answer, forgetAt);
+        m_answers.finish(attempt.id(), result.answer, expiresAt);
         break;
     case SendState::OutcomeLost:
-        m_answers.setState(attempt.id(), HolderState::OutcomeLost, forgetAt);
+        m_answers.setState(attempt.id(), HolderState::OutcomeLost, expiresAt);
         Core::logEvent(Core::EventId::ClaimFateUnknown,
                        {{"team", attempt.call().key.team.value()}});
         break;
     case SendState::NotSent:
-        m_answers.setState(attempt.id(), HolderState::GivenUp, forgetAt);
+        m_answers.setState(attempt.id(), HolderState::GivenUp, expiresAt);
         break;
     }
-    carryOut(call, attempt.onSendResult(result, m_clock.now()), actions);
-    return finish(std::move(actions));
+    execute(call, attempt.onSendResult(result, m_clock.now()), actions);
+    return addDueAppends(std::move(actions));
 }
 
 ClaimActions ClaimEngine::onLateAnswer(const ClaimKey &key, const AnswerPointer &answer)
@@ -120,11 +120,11 @@
     const auto reply = m_answers.find(view->holding->attempt);
     if (!reply || reply->state != HolderState::OutcomeLost)
         return {};
-    m_answers.finish(view->holding->attempt, answer, forgetTime(key));
+    m_answers.finish(view->holding->attempt, answer, expiryTime(key));
     m_writer.enqueue(partitionOf(key),
                      makeRecord(RecordKind::Finished, {key, view->digest}, view->holding->attempt),
                      m_clock.now());
-    return finish({});
+    return addDueAppends({});
 }
 
 ClaimActions ClaimEngine::onTimer()
@@ -137,9 +137,9 @@
         m_deadlines.erase(m_deadlines.begin());
         const auto it = m_calls.find(call);
         if (it != m_calls.end())
-            carryOut(call, it->second->onTimer(now), actions);
+            execute(call, it->second->onTimer(now), actions);
     }
-    return finish(std::move(actions));
+    return addDueAppends(std::move(actions));
 }
 
 std::optional<Core::Clock::Monotonic> ClaimEngine::nextDeadline() const
@@ -157,7 +157,7 @@
         return {HolderState::Gone, nullptr};
     if (const auto reply = m_answers.find(query.attempt))
         return *reply;
-    if (m_callOf.contains(query.attempt))
+    if (m_callByAttempt.contains(query.attempt))
         return {HolderState::Deciding, nullptr};
     return {HolderState::Gone, nullptr};
 }
@@ -225,8 +225,8 @@
     AttemptHooks hooks;
     hooks.nextId = [this, call] {
         const AttemptId id {m_origin, m_nextSequence++};
-        m_callOf.erase(m_calls.at(call)->id());
-        m_callOf[id] = call;
+        m_callByAttempt.erase(m_calls.at(call)->id());
+        m_callByAttempt[id] = call;
         return id;
     };
     hooks.lookUp = [this, key = request.key] {
@@ -236,7 +236,7 @@
     return *(m_calls[call] = std::move(attempt));
 }
 
-void ClaimEngine::carryOut(CallId call, const ClaimAttempt::Steps &steps, ClaimActions &actions)
+void ClaimEngine::execute(CallId call, const ClaimAttempt::Steps &steps, ClaimActions &actions)
 {
     for (const auto &step : steps) {
         if (const auto *it = std::get_if<AppendStep>(&step))
@@ -247,11 +247,11 @@
             answer(call, it->outcome, actions);
         else if (const auto *it = std::get_if<SendStep>(&step)) {
             m_answers.setState(it->attempt, HolderState::Running,
-                               forgetTime(m_calls.at(call)->call().key));
+                               expiryTime(m_calls.at(call)->call().key));
             actions.emplace_back(SendAction {call});
         }
     }
-    schedule(call);
+    scheduleTimer(call);
 }
 
 void ClaimEngine::append(CallId call, const AppendStep &step)
@@ -261,7 +261,7 @@
     if (step.kind == RecordKind::Claim)
         ++m_counters.claims;
     if (step.kind == RecordKind::Void) {
-        m_answers.setState(step.attempt, HolderState::GivenUp, forgetTime(request.key));
+        m_answers.setState(step.attempt, HolderState::GivenUp, expiryTime(request.key));
         if (m_writer.cancelClaim(partition, step.attempt))
             return;
         ++m_counters.voids;
@@ -279,7 +279,7 @@
         return;
     }
     const auto reply = replyTo(query);
-    carryOut(call, m_calls.at(call)->onHolderReply(reply, m_clock.now()), actions);
+    execute(call, m_calls.at(call)->onHolderReply(reply, m_clock.now()), actions);
 }
 
 void ClaimEngine::answer(CallId call, Outcome outcome, ClaimActions &actions)
@@ -291,7 +291,7 @@
             outcome.key = keyExecutionStatus(it->second->call().key);
         if (outcome.error == ErrorKind::KeyOutcomeUnknown && outcome.key == ExecutionStatus::Run)
             outcome.error = ErrorKind::AnswerNotKept;
-        m_callOf.erase(it->second->id());
+        m_callByAttempt.erase(it->second->id());
         m_calls.erase(it);
     }
     ++m_counters.outcomes;
@@ -303,19 +303,19 @@
                               ClaimActions &actions)
 {
     m_writer.noteRead(partitionOf(record.key), record.kind, record.attempt);
-    const auto call = m_callOf.find(record.attempt);
+    const auto call = m_callByAttempt.find(record.attempt);
     const bool decides = record.kind == RecordKind::Claim || record.kind == RecordKind::Close;
-    if (!decides || call == m_callOf.end())
+    if (!decides || call == m_callByAttempt.end())
         return;
     auto &attempt = *m_calls.at(call->second);
     // A claim read back while the same attempt closes its key decides nothing any more.
     if (attempt.id() != record.attempt
         || (record.kind == RecordKind::Claim && !attempt.isClaiming()))
         return;
-    carryOut(call->second, attempt.onVerdict(verdict, m_clock.now()), actions);
+    execute(call->second, attempt.onVerdict(verdict, m_clock.now()), actions);
 }
 
-ClaimActions ClaimEngine::finish(ClaimActions actions)
+ClaimActions ClaimEngine::addDueAppends(ClaimActions actions)
 {
     for (auto &it : m_writer.poll(m_clock.now()))
         actions.emplace_back(std::move(it));
@@ -328,7 +328,7 @@
     return {kind, call.key, call.digest, attempt, m_self};
 }
 
-void ClaimEngine::schedule(CallId call)
+void ClaimEngine::scheduleTimer(CallId call)
 {
     const auto it = m_calls.find(call);
     if (it == m_calls.end())
@@ -346,7 +346,7 @@
     m_answers.expire(m_clock.wallNow());
 }
 
-IssueTime ClaimEngine::forgetTime(const ClaimKey &key) const
+IssueTime ClaimEngine::expiryTime(const ClaimKey &key) const
 {
     return key.issuedAt + m_settings.window.window() + m_settings.window.skew();
 }
--- a/Libraries/LibClaims/ClaimEngine.h
+++ b/Libraries/LibClaims/ClaimEngine.h
@@ -101,17 +101,17 @@
 
     bool rejectEarly(CallId call, const Call &request, ClaimActions &actions);
     ClaimAttempt &addAttempt(CallId call, const Call &request);
-    void carryOut(CallId call, const ClaimAttempt::Steps &steps, ClaimActions &actions);
+    void execute(CallId call, const ClaimAttempt::Steps &steps, ClaimActions &actions);
     void append(CallId call, const AppendStep &step);
     void ask(CallId call, const AskStep &step, ClaimActions &actions);
     void answer(CallId call, Outcome outcome, ClaimActions &actions);
-    void noteFaults(std::size_t partition, std::uint64_t rebuilds, std::uint64_t garbage);
+    void noteFaults(std::size_t partition, std::uint64_t rebuilds, std::uint64_t malformed);
     void onOwnRecord(const ClaimRecord &record, const Verdict &verdict, ClaimActions &actions);
-    ClaimActions finish(ClaimActions actions);
+    ClaimActions addDueAppends(ClaimActions actions);
     ClaimRecord makeRecord(RecordKind kind, const Call &call, const AttemptId &attempt) const;
-    void schedule(CallId call);
+    void scheduleTimer(CallId call);
     void expireAnswers();
-    IssueTime forgetTime(const ClaimKey &key) const;
+    IssueTime expiryTime(const ClaimKey &key) const;
 
     ClaimSettings m_settings;
     Holder m_self;
@@ -123,7 +123,7 @@
     const std::uint64_t m_origin;
     std::uint64_t m_nextSequence = 1;
     std::unordered_map<CallId, Attempt> m_calls;
-    std::unordered_map<AttemptId, CallId> m_callOf;
+    std::unordered_map<AttemptId, CallId> m_callByAttempt;
     std::set<std::pair<Core::Clock::Monotonic, CallId>> m_deadlines;
     Core::Clock::Monotonic m_nextExpiry {};
 };
--- a/Libraries/LibClaims/ClaimIndex.cpp
+++ b/Libraries/LibClaims/ClaimIndex.cpp
@@ -26,7 +26,7 @@
         return applyClose(record);
     case RecordKind::Void:
         applyVoid(record);
-        return {VerdictKind::Dead, std::nullopt};
+        return {VerdictKind::AttemptEnded, std::nullopt};
     case RecordKind::Finished:
         applyFinished(record);
         return {VerdictKind::KeyFinished, std::nullopt};
@@ -36,23 +36,23 @@
 
 Verdict ClaimIndex::applyClaim(const ClaimRecord &record)
 {
-    if (m_dead.contains(record.attempt))
-        return {VerdictKind::Dead, std::nullopt};
+    if (m_endedAttempts.contains(record.attempt))
+        return {VerdictKind::AttemptEnded, std::nullopt};
     const auto *entry = liveEntry(record.key);
-    const bool own = entry && entry->attempt == record.attempt;
-    if (entry && entry->state != KeyState::Free && !own) {
+    const bool isOwn = entry && entry->attempt == record.attempt;
+    if (entry && entry->state != KeyState::Free && !isOwn) {
         if (entry->digest != record.digest || entry->issuedAt != record.key.issuedAt)
-            return refuse(record, VerdictKind::Conflict, *entry);
+            return reject(record, VerdictKind::Conflict, *entry);
         if (entry->state == KeyState::Held)
-            return refuse(record, VerdictKind::Lost, *entry);
+            return reject(record, VerdictKind::Lost, *entry);
     }
     const bool certain = isCertain(record.key.issuedAt);
     if (entry && entry->state == KeyState::Closed)
-        return refuse(record, certain ? VerdictKind::KeyClosed : VerdictKind::Uncertain, *entry);
+        return reject(record, certain ? VerdictKind::KeyClosed : VerdictKind::Uncertain, *entry);
     if (entry && entry->state == KeyState::Finished)
-        return refuse(record, VerdictKind::KeyFinished, *entry);
-    if (!own)
-        take(record, KeyState::Held);
+        return reject(record, VerdictKind::KeyFinished, *entry);
+    if (!isOwn)
+        storeEntry(record, KeyState::Held);
     return {certain ? VerdictKind::Won : VerdictKind::Uncertain,
             Holding {record.attempt, record.holder}};
 }
@@ -65,14 +65,14 @@
     if (entry && entry->state == KeyState::Held && entry->attempt != record.attempt)
         return {VerdictKind::Lost, holdingOf(*entry)};
     if (!entry || entry->state != KeyState::Closed)
-        take(record, KeyState::Closed);
+        storeEntry(record, KeyState::Closed);
     return {isCertain(record.key.issuedAt) ? VerdictKind::KeyClosed : VerdictKind::Uncertain,
             std::nullopt};
 }
 
 void ClaimIndex::applyVoid(const ClaimRecord &record)
 {
-    m_dead.insert_or_assign(record.attempt, record.key.issuedAt);
+    m_endedAttempts.insert_or_assign(record.attempt, record.key.issuedAt);
     auto *entry = liveEntry(record.key);
     if (entry && entry->state == KeyState::Held && entry->attempt == record.attempt)
         entry->state = KeyState::Free;
@@ -82,15 +82,15 @@
 {
     const auto *entry = liveEntry(record.key);
     if (!entry || entry->state != KeyState::Finished)
-        take(record, KeyState::Finished);
+        storeEntry(record, KeyState::Finished);
 }
 
-Verdict ClaimIndex::refuse(const ClaimRecord &record, VerdictKind kind, const Entry &entry)
+Verdict ClaimIndex::reject(const ClaimRecord &record, VerdictKind kind, const Entry &entry)
 {
     const auto holding = holdingOf(entry);
-    const bool own = entry.attempt == record.attempt;
-    if (!own)
-        m_dead.insert_or_assign(record.attempt, record.key.issuedAt);
+    const bool isOwn = entry.attempt == record.attempt;
+    if (!isOwn)
+        m_endedAttempts.insert_or_assign(record.attempt, record.key.issuedAt);
     return {kind, holding};
 }
 
@@ -104,10 +104,10 @@
     return KeyView {entry.state, certain, entry.issuedAt, entry.digest, holdingOf(entry)};
 }
 
-void ClaimIndex::restart(std::chrono::system_clock::time_point lostUntil)
+void ClaimIndex::clearAfterLoss(std::chrono::system_clock::time_point lostUntil)
 {
     m_entries.clear();
-    m_dead.clear();
+    m_endedAttempts.clear();
     m_holders.clear();
     m_certainAfter = lostUntil + m_window.skew();
 }
@@ -121,7 +121,7 @@
 {
     // The flat tables keep one byte of metadata a slot beside the values.
     return m_entries.bucket_count() * (sizeof(decltype(m_entries)::value_type) + 1)
-           + m_dead.bucket_count() * (sizeof(decltype(m_dead)::value_type) + 1)
+           + m_endedAttempts.bucket_count() * (sizeof(decltype(m_endedAttempts)::value_type) + 1)
            + m_holders.capacity() * sizeof(Holder);
 }
 
@@ -133,7 +133,7 @@
     return &it->second;
 }
 
-void ClaimIndex::take(const ClaimRecord &record, KeyState state)
+void ClaimIndex::storeEntry(const ClaimRecord &record, KeyState state)
 {
     const Entry entry {record.key.issuedAt, record.digest, record.attempt,
                        internHolder(record.holder), state};
@@ -163,8 +163,9 @@
     boost::unordered::erase_if(m_entries, [this](const auto &it) {
         return m_window.isExpired(it.second.issuedAt, m_logTime);
     });
-    boost::unordered::erase_if(
-        m_dead, [this](const auto &it) { return m_window.isExpired(it.second, m_logTime); });
+    boost::unordered::erase_if(m_endedAttempts, [this](const auto &it) {
+        return m_window.isExpired(it.second, m_logTime);
+    });
 }
 
 } // namespace Claims
--- a/Libraries/LibClaims/ClaimIndex.h
+++ b/Libraries/LibClaims/ClaimIndex.h
@@ -24,7 +24,7 @@
     /// Another attempt of the key ran to its end.
     KeyFinished,
     /// The attempt was voided, or lost with an earlier copy of the same claim.
-    Dead,
+    AttemptEnded,
     /// The record reached the log after the key's window.
     Expired,
     /// The issue time lies ahead of the log's clock by more than the skew.
@@ -43,7 +43,7 @@
 /// The decision on one record, with the holder where there is one.
 struct Verdict
 {
-    VerdictKind kind = VerdictKind::Dead;
+    VerdictKind kind = VerdictKind::AttemptEnded;
     std::optional<Holding> holding;
 };
 
@@ -84,7 +84,7 @@
 
     /// Forgets everything after records up to the given time were lost: keys whose claims could
     /// have been among them are uncertain from now on.
-    void restart(std::chrono::system_clock::time_point lostUntil);
+    void clearAfterLoss(std::chrono::system_clock::time_point lostUntil);
 
     /// Whether lost records may have decided a key issued then.
     bool isCertain(IssueTime issuedAt) const;
@@ -107,9 +107,9 @@
     Verdict applyClose(const ClaimRecord &record);
     void applyVoid(const ClaimRecord &record);
     void applyFinished(const ClaimRecord &record);
-    Verdict refuse(const ClaimRecord &record, VerdictKind kind, const Entry &entry);
+    Verdict reject(const ClaimRecord &record, VerdictKind kind, const Entry &entry);
     Entry *liveEntry(const ClaimKey &key);
-    void take(const ClaimRecord &record, KeyState state);
+    void storeEntry(const ClaimRecord &record, KeyState state);
     std::uint32_t internHolder(const Holder &holder);
     Holding holdingOf(const Entry &entry) const;
     void sweep();
@@ -120,7 +120,7 @@
     std::optional<std::chrono::system_clock::time_point> m_certainAfter;
     boost::unordered_flat_map<KeyId, Entry, std::hash<KeyId>> m_entries;
     /// Attempts that lost or were voided, with their keys' issue times.
-    boost::unordered_flat_map<AttemptId, IssueTime, std::hash<AttemptId>> m_dead;
+    boost::unordered_flat_map<AttemptId, IssueTime, std::hash<AttemptId>> m_endedAttempts;
     std::vector<Holder> m_holders;
 };
 
--- a/Libraries/LibClaims/ClaimKey.cpp
+++ b/Libraries/LibClaims/ClaimKey.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint64_t HighSeed = 1;
 constexpr std::uint64_t LowSeed = 2;
 // The year 9999, so that arithmetic on issue times cannot overflow.
-constexpr std::int64_t LatestIssueTimeMs = 253'402'300'799'000;
+constexpr std::int64_t MaxIssueTimeMs = 253'402'300'799'000;
 
 bool isKeyByte(char byte)
 {
@@ -23,7 +23,7 @@
     std::int64_t value = 0;
     const auto *end = text.data() + text.size();
     const auto [rest, ec] = std::from_chars(text.data(), end, value);
-    if (ec != std::errc {} || rest != end || value < 0 || value > LatestIssueTimeMs)
+    if (ec != std::errc {} || rest != end || value < 0 || value > MaxIssueTimeMs)
         return std::nullopt;
     return IssueTime(std::chrono::milliseconds(value));
 }
@@ -76,7 +76,7 @@
 {
     if (!key || !issuedAt)
         return Core::Error(Core::ErrorKind::MissingIdempotencyKey);
-    if (key->empty() || key->size() > MaximumKeyBytes || !std::ranges::all_of(*key, isKeyByte))
+    if (key->empty() || key->size() > MaxKeyBytes || !std::ranges::all_of(*key, isKeyByte))
         return Core::Error(Core::ErrorKind::InvalidIdempotencyKey, "Idempotency-Key");
     const auto time = parseIssueTime(*issuedAt);
     if (!time)
--- a/Libraries/LibClaims/ClaimKey.h
+++ b/Libraries/LibClaims/ClaimKey.h
@@ -69,7 +69,7 @@
 };
 
 /// The longest key text, in bytes.
-constexpr std::size_t MaximumKeyBytes = 255;
+constexpr std::size_t MaxKeyBytes = 255;
 
 /// Reads the headers Idempotency-Key and Idempotency-Issued-At (milliseconds since the epoch).
 /// Errors: MissingIdempotencyKey, InvalidIdempotencyKey, both with the attempt not run.
--- a/Libraries/LibClaims/ClaimPartition.cpp
+++ b/Libraries/LibClaims/ClaimPartition.cpp
@@ -8,21 +8,21 @@
                              const RecordHook &onRecord)
 {
     // A stream that ends before what was already read has lost its tail: its offsets start anew.
-    if (page.first > m_next || page.next < m_next)
+    if (page.first > m_nextOffset || page.next < m_nextOffset)
         rebuild(page, wallNow);
     for (const auto &it : page.records) {
-        if (it.offset < m_next)
+        if (it.offset < m_nextOffset)
             continue;
-        m_next = it.offset + 1;
+        m_nextOffset = it.offset + 1;
         const auto records = decodeBatch(it.data);
         if (!records) {
-            ++m_garbage;
+            ++m_malformed;
             continue;
         }
         for (const auto &record : *records)
             onRecord(record, m_index.apply(record, it.time));
     }
-    if (m_next >= page.next)
+    if (m_nextOffset >= page.next)
         m_caughtUp = true;
 }
 
@@ -31,8 +31,8 @@
 {
     // What is missing is older than the first record that is left.
     const auto lostUntil = page.records.empty() ? wallNow : page.records.front().time;
-    m_index.restart(lostUntil);
-    m_next = page.first;
+    m_index.clearAfterLoss(lostUntil);
+    m_nextOffset = page.first;
     m_caughtUp = false;
     ++m_rebuilds;
 }
--- a/Libraries/LibClaims/ClaimPartition.h
+++ b/Libraries/LibClaims/ClaimPartition.h
@@ -20,19 +20,19 @@
         : m_index(window)
     { }
 
-    /// Takes a page that was read from next() on. The hook is called for each record with the
+    /// Takes a page that was read from nextOffset() on. The hook is called for each record with the
     /// decision on it. wallNow bounds the time of lost records when the page has none to tell.
     void consume(const Platform::LogPage &page, std::chrono::system_clock::time_point wallNow,
                  const RecordHook &onRecord);
 
     /// The offset to read from.
-    Platform::LogOffset next() const { return m_next; }
+    Platform::LogOffset nextOffset() const { return m_nextOffset; }
     /// Whether the stream was once read to its end, as a new instance must before it knows the
     /// stream's keys.
     bool isCaughtUp() const { return m_caughtUp; }
     const ClaimIndex &index() const { return m_index; }
     /// Appends that did not decode.
-    std::uint64_t garbageCount() const { return m_garbage; }
+    std::uint64_t malformedCount() const { return m_malformed; }
     /// How often records were missing.
     std::uint64_t rebuildCount() const { return m_rebuilds; }
 
@@ -40,9 +40,9 @@
     void rebuild(const Platform::LogPage &page, std::chrono::system_clock::time_point wallNow);
 
     ClaimIndex m_index;
-    Platform::LogOffset m_next = 0;
+    Platform::LogOffset m_nextOffset = 0;
     bool m_caughtUp = false;
-    std::uint64_t m_garbage = 0;
+    std::uint64_t m_malformed = 0;
     std::uint64_t m_rebuilds = 0;
 };
 
--- a/Libraries/LibClaims/ClaimSettings.h
+++ b/Libraries/LibClaims/ClaimSettings.h
@@ -12,22 +12,22 @@
 struct BatchSettings
 {
     /// A batch closes when its first record has waited this long.
-    std::chrono::milliseconds age {2};
+    std::chrono::milliseconds maxAge {2};
     /// Finished records alone close a batch only after this long, and otherwise travel with the
     /// next claims: nobody waits for them, and a crash in between leaves the key unknown.
-    std::chrono::milliseconds finishedAge {250};
+    std::chrono::milliseconds maxFinishedAge {250};
     /// A batch closes at this many records.
-    std::size_t records = 512;
+    std::size_t maxRecords = 512;
     /// Appends of one partition that may be under way at once. More than one keeps an append whose
     /// answer hangs from holding up the claims behind it.
-    std::size_t inFlight = 2;
+    std::size_t maxInFlight = 2;
     /// This instance's share of the appends a second that the log takes from the whole fleet.
     double appendsPerSecond = 40;
     /// Appends that may go at once after a quiet time.
     double appendBurst = 20;
     /// The first and the longest wait before a failed append is tried again.
-    std::chrono::milliseconds retryDelay {50};
-    std::chrono::milliseconds longestRetryDelay {2000};
+    std::chrono::milliseconds minRetryDelay {50};
+    std::chrono::milliseconds maxRetryDelay {2000};
 };
 
 /// Everything the claims of one instance are set by.
--- a/Libraries/LibClaims/ClaimWriter.cpp
+++ b/Libraries/LibClaims/ClaimWriter.cpp
@@ -10,13 +10,13 @@
     : m_settings(settings)
     , m_counters(counters)
     , m_partitions(partitions)
-    , m_tokens(settings.appendBurst)
+    , m_appendTokens(settings.appendBurst)
 { }
 
 void ClaimWriter::enqueue(std::size_t partition, ClaimRecord record, Core::Clock::Monotonic now)
 {
-    const bool isLazy = record.kind == RecordKind::Finished;
-    const auto dueAt = now + (isLazy ? m_settings.finishedAge : m_settings.age);
+    const bool isDeferrable = record.kind == RecordKind::Finished;
+    const auto dueAt = now + (isDeferrable ? m_settings.maxFinishedAge : m_settings.maxAge);
     m_partitions[partition].queue.push_back({std::move(record), dueAt, false});
 }
 
@@ -32,9 +32,9 @@
             std::erase_if(batch.records, isClaim);
         return false;
     }
-    const bool neverLeft = !it->submitted;
+    const bool neverSubmitted = !it->submitted;
     queue.erase(it);
-    return neverLeft;
+    return neverSubmitted;
 }
 
 void ClaimWriter::noteRead(std::size_t partition, RecordKind kind, const AttemptId &attempt)
@@ -56,17 +56,17 @@
 
 std::vector<AppendBatch> ClaimWriter::poll(Core::Clock::Monotonic now)
 {
-    refill(now);
+    refillTokens(now);
     std::vector<AppendBatch> batches;
     // Starts at another partition each time, so that a short rate serves all of them in turn.
-    for (std::size_t n = 0; n < m_partitions.size() && m_tokens >= 1; ++n) {
+    for (std::size_t n = 0; n < m_partitions.size() && m_appendTokens >= 1; ++n) {
         const auto partition = (m_firstToPoll + n) % m_partitions.size();
         const auto due = dueAt(m_partitions[partition]);
         if (!due || *due > now)
             continue;
         batches.push_back(closeBatch(partition));
-        m_tokens -= 1;
-        if (m_tokens < 1)
+        m_appendTokens -= 1;
+        if (m_appendTokens < 1)
             m_firstToPoll = (partition + 1) % m_partitions.size();
     }
     return batches;
@@ -87,7 +87,7 @@
     }
     ++m_counters.failedAppends;
     partition.retryDelay =
-        std::clamp(partition.retryDelay * 2, m_settings.retryDelay, m_settings.longestRetryDelay);
+        std::clamp(partition.retryDelay * 2, m_settings.minRetryDelay, m_settings.maxRetryDelay);
     partition.retryAt = now + partition.retryDelay;
     partition.queue.insert(partition.queue.begin(), std::make_move_iterator(batch.records.begin()),
                            std::make_move_iterator(batch.records.end()));
@@ -101,9 +101,9 @@
         if (due && (!earliest || *due < *earliest))
             earliest = due;
     }
-    if (!earliest || m_tokens >= 1)
+    if (!earliest || m_appendTokens >= 1)
         return earliest;
-    const std::chrono::duration<double> wait((1 - m_tokens) / m_settings.appendsPerSecond);
+    const std::chrono::duration<double> wait((1 - m_appendTokens) / m_settings.appendsPerSecond);
     const auto rounded = std::chrono::ceil<std::chrono::milliseconds>(wait);
     return std::max(*earliest, std::max(now, m_refilledAt + rounded));
 }
@@ -120,9 +120,9 @@
 
 std::optional<Core::Clock::Monotonic> ClaimWriter::dueAt(const Partition &partition) const
 {
-    if (partition.queue.empty() || partition.inFlight >= m_settings.inFlight)
+    if (partition.queue.empty() || partition.inFlight >= m_settings.maxInFlight)
         return std::nullopt;
-    if (partition.queue.size() >= m_settings.records)
+    if (partition.queue.size() >= m_settings.maxRecords)
         return partition.retryAt;
     const auto isEarlier = [](const Pending &left, const Pending &right) {
         return left.dueAt < right.dueAt;
@@ -134,7 +134,7 @@
 AppendBatch ClaimWriter::closeBatch(std::size_t partition)
 {
     auto &queue = m_partitions[partition].queue;
-    const auto count = std::min(queue.size(), m_settings.records);
+    const auto count = std::min(queue.size(), m_settings.maxRecords);
     InFlight batch {partition, {}};
     std::vector<ClaimRecord> records;
     records.reserve(count);
@@ -154,11 +154,11 @@
     return {id, partition, std::move(data)};
 }
 
-void ClaimWriter::refill(Core::Clock::Monotonic now)
+void ClaimWriter::refillTokens(Core::Clock::Monotonic now)
 {
     const std::chrono::duration<double> elapsed = now - m_refilledAt;
-    m_tokens =
-        std::min(m_settings.appendBurst, m_tokens + elapsed.count() * m_settings.appendsPerSecond);
+    m_appendTokens = std::min(m_settings.appendBurst,
+                              m_appendTokens + elapsed.count() * m_settings.appendsPerSecond);
     m_refilledAt = now;
 }
 
--- a/Libraries/LibClaims/ClaimWriter.h
+++ b/Libraries/LibClaims/ClaimWriter.h
@@ -66,7 +66,7 @@
 
     std::optional<Core::Clock::Monotonic> dueAt(const Partition &partition) const;
     AppendBatch closeBatch(std::size_t partition);
-    void refill(Core::Clock::Monotonic now);
+    void refillTokens(Core::Clock::Monotonic now);
 
     BatchSettings m_settings;
     ClaimCounters &m_counters;
@@ -74,7 +74,7 @@
     std::unordered_map<std::uint64_t, InFlight> m_inFlight;
     std::uint64_t m_nextBatch = 1;
     std::size_t m_firstToPoll = 0;
-    double m_tokens = 0;
+    double m_appendTokens = 0;
     Core::Clock::Monotonic m_refilledAt {};
 };
 
--- a/Tests/LibAccounting/TestUsageLedger.cpp
+++ b/Tests/LibAccounting/TestUsageLedger.cpp
@@ -54,10 +54,10 @@
 /// A log whose answers are lost at times, and that is out at times.
 struct FaultyLog
 {
-    void append(UsageOutbox &outbox, bool isOut, bool isLast)
+    void append(UsageOutbox &outbox, bool isUnavailable, bool isLast)
     {
         while (const auto batch = outbox.nextBatch(isLast && outbox.pending() == 0)) {
-            if (isOut)
+            if (isUnavailable)
                 return;
             records.push_back(*batch);
             if (!isLast && rng() % 3 == 0)
@@ -92,10 +92,10 @@
             instances[rng() % 3]->work(rng, tokens);
             if (step % 100 != 99)
                 continue;
-            const bool isOut = step > 1000 && step < 2000;
+            const bool isUnavailable = step > 1000 && step < 2000;
             for (auto &it : instances) {
                 it->outbox.add(it->meter.closeInterval(1));
-                log.append(it->outbox, isOut, false);
+                log.append(it->outbox, isUnavailable, false);
                 // One batch unanswered and one record waiting, however long the outage.
                 CHECK(it->outbox.pending() <= 2);
             }
--- a/Tests/LibClaims/ClaimHistory.cpp
+++ b/Tests/LibClaims/ClaimHistory.cpp
@@ -8,10 +8,10 @@
 
 constexpr std::size_t InstanceCount = 3;
 constexpr std::size_t PartitionCount = 2;
-constexpr auto PlannedTime = 40s;
+constexpr auto ActivePeriod = 40s;
 constexpr auto Lease = 3s;
 // Past the planned time, the window and the log's retention.
-constexpr std::chrono::milliseconds LongSleepEnd = 170s;
+constexpr std::chrono::milliseconds LongFreezeEnd = 170s;
 
 ClaimSettings historySettings()
 {
@@ -43,10 +43,10 @@
     m_reusesIncarnations = hasCrashes() && chance(20);
     for (std::size_t n = 0; n < InstanceCount; ++n)
         start(n);
-    plan();
-    if (!isCalm())
-        planFaults();
-    at(PlannedTime, [this] { probe(); });
+    scheduleCalls();
+    if (!isFaultFree())
+        scheduleFaults();
+    runAfter(ActivePeriod, [this] { scheduleProbes(); });
     while (!m_events.empty()) {
         auto event = m_events.top();
         m_events.pop();
@@ -62,7 +62,7 @@
     return std::chrono::duration_cast<Time>(m_clock.wallNow() - m_epoch);
 }
 
-ClaimHistory::Time ClaimHistory::between(int low, int high)
+ClaimHistory::Time ClaimHistory::randomTime(int low, int high)
 {
     return Time(low + static_cast<int>(m_rng() % static_cast<unsigned>(high - low + 1)));
 }
@@ -72,21 +72,21 @@
     return m_rng() % 100 < static_cast<unsigned>(percent);
 }
 
-void ClaimHistory::at(Time delay, Task task)
+void ClaimHistory::runAfter(Time delay, Task task)
 {
     m_events.push({now() + delay, m_order++, std::move(task)});
 }
 
 // Runs a task on a life of an instance: never after its end, and only when it is not frozen.
-void ClaimHistory::deliver(std::size_t n, Time delay, Task task)
+void ClaimHistory::runOnInstance(std::size_t n, Time delay, Task task)
 {
-    const auto life = m_instances[n].life;
-    at(delay, [this, n, life, task = std::move(task)] {
+    const auto processEpoch = m_instances[n].processEpoch;
+    runAfter(delay, [this, n, processEpoch, task = std::move(task)] {
         auto &it = m_instances[n];
-        if (it.life != life || !it.engine)
+        if (it.processEpoch != processEpoch || !it.engine)
             return;
         if (it.frozenUntil > now())
-            deliver(n, it.frozenUntil - now(), task);
+            runOnInstance(n, it.frozenUntil - now(), task);
         else
             task();
     });
@@ -95,11 +95,11 @@
 void ClaimHistory::start(std::size_t n)
 {
     auto &it = m_instances[n];
-    ++it.life;
-    const auto incarnation = m_reusesIncarnations ? 1 : it.life;
-    const auto named = m_mutation == Mutation::ReuseOrigin ? incarnation : it.life;
+    ++it.processEpoch;
+    const auto incarnation = m_reusesIncarnations ? 1 : it.processEpoch;
+    const auto originNumber = m_mutation == Mutation::ReuseOrigin ? incarnation : it.processEpoch;
     const Holder self {Core::InstanceId("i" + std::to_string(n)), incarnation};
-    it.engine = std::make_unique<ClaimEngine>(m_settings, self, n * 1000 + named, m_clock);
+    it.engine = std::make_unique<ClaimEngine>(m_settings, self, n * 1000 + originNumber, m_clock);
     it.reading.assign(PartitionCount, false);
     it.timerAt = Time(-1);
     it.frozenUntil = Time(0);
@@ -115,7 +115,7 @@
     ++m_report.crashes;
     m_report.voids += it.engine->counters().voids;
     it.engine.reset();
-    at(between(100, 3000), [this, n] { start(n); });
+    runAfter(randomTime(100, 3000), [this, n] { start(n); });
 }
 
 bool ClaimHistory::hasCrashes() const
@@ -123,76 +123,77 @@
     return m_kind == HistoryKind::Faults || m_kind == HistoryKind::EarlyLoss;
 }
 
-bool ClaimHistory::crashesHere(std::size_t n)
+bool ClaimHistory::maybeCrash(std::size_t n)
 {
-    if (!hasCrashes() || m_quiet || !chance(2))
+    if (!hasCrashes() || m_hasRecovered || !chance(2))
         return false;
     crash(n);
     return true;
 }
 
-bool ClaimHistory::logIsOut(std::size_t n) const
+bool ClaimHistory::isLogUnavailable(std::size_t n) const
 {
-    return m_instances[n].cut || (now() >= m_outFrom && now() < m_outUntil);
+    return m_instances[n].isDisconnected || (now() >= m_outageStart && now() < m_outageEnd);
 }
 
-void ClaimHistory::plan()
+void ClaimHistory::scheduleCalls()
 {
     const auto keys = 3 + m_rng() % 5;
     for (std::uint64_t key = 0; key < keys; ++key) {
-        const auto issued = between(0, 30'000);
+        const auto issued = randomTime(0, 30'000);
         Claims::Call request {{Core::TeamId("t"), "k" + std::to_string(key), {}}, 1};
         request.key.issuedAt = std::chrono::time_point_cast<std::chrono::milliseconds>(m_epoch)
-                               + issued - between(0, 200);
+                               + issued - randomTime(0, 200);
         // One key in eight is near the end of its window, so that it expires between attempts.
         if (m_rng() % 8 == 0)
-            request.key.issuedAt -= between(40'000, 60'000);
+            request.key.issuedAt -= randomTime(40'000, 60'000);
         const auto attempts = 1 + m_rng() % 4;
         for (std::uint64_t n = 0; n < attempts; ++n) {
             auto resend = request;
             resend.digest = chance(10) ? 2 : 1;
-            const auto later = chance(50) ? between(0, 20) : between(0, 8000);
-            callAt(issued + later, m_rng() % InstanceCount, resend, chance(15));
+            const auto later = chance(50) ? randomTime(0, 20) : randomTime(0, 8000);
+            scheduleCall(issued + later, m_rng() % InstanceCount, resend, chance(15));
         }
     }
 }
 
-void ClaimHistory::planFaults()
+void ClaimHistory::scheduleFaults()
 {
     if (chance(50)) {
-        m_outFrom = between(0, 30'000);
-        m_outUntil = m_outFrom + between(500, 9000);
+        m_outageStart = randomTime(0, 30'000);
+        m_outageEnd = m_outageStart + randomTime(500, 9000);
     }
     for (std::size_t n = 0; n < InstanceCount; ++n) {
         if (hasCrashes() && chance(40))
-            at(between(0, 30'000), [this, n] { crash(n); });
+            runAfter(randomTime(0, 30'000), [this, n] { crash(n); });
         if (chance(40)) {
-            at(between(0, 30'000),
-               [this, n] { m_instances[n].frozenUntil = now() + between(500, 15'000); });
+            runAfter(randomTime(0, 30'000),
+                     [this, n] { m_instances[n].frozenUntil = now() + randomTime(500, 15'000); });
         }
     }
     if (chance(15)) {
         // Sleeps past window and retention, and then meets its old claims and a new key.
-        m_hasLongSleep = true;
-        at(between(0, 30'000), [this] { m_instances[1].frozenUntil = LongSleepEnd; });
+        m_hasLongFreeze = true;
+        runAfter(randomTime(0, 30'000), [this] { m_instances[1].frozenUntil = LongFreezeEnd; });
         Claims::Call late {{Core::TeamId("t"), "late", {}}, 1};
         late.key.issuedAt =
-            std::chrono::time_point_cast<std::chrono::milliseconds>(m_epoch) + LongSleepEnd + 3s;
-        callAt(LongSleepEnd + 2s, 0, late, false);
-        callAt(LongSleepEnd + between(2000, 4000), 1, late, false);
+            std::chrono::time_point_cast<std::chrono::milliseconds>(m_epoch) + LongFreezeEnd + 3s;
+        scheduleCall(LongFreezeEnd + 2s, 0, late, false);
+        scheduleCall(LongFreezeEnd + randomTime(2000, 4000), 1, late, false);
     }
     if (chance(40)) {
         // The last instance is a data centre of its own.
-        auto &alone = m_instances.back();
-        const auto from = between(0, 30'000);
-        at(from, [&alone] { alone.cut = true; });
-        at(from + between(500, 9000), [&alone] { alone.cut = false; });
+        auto &isolated = m_instances.back();
+        const auto from = randomTime(0, 30'000);
+        runAfter(from, [&isolated] { isolated.isDisconnected = true; });
+        runAfter(from + randomTime(500, 9000), [&isolated] { isolated.isDisconnected = false; });
     }
 }
 
-void ClaimHistory::callAt(Time time, std::size_t n, const Claims::Call &request, bool atDoor)
+void ClaimHistory::scheduleCall(Time time, std::size_t n, const Claims::Call &request,
+                                bool rejectsEarly)
 {
-    at(time, [this, n, request, atDoor] {
+    runAfter(time, [this, n, request, rejectsEarly] {
         auto &it = m_instances[n];
         if (!it.engine)
             return;
@@ -200,26 +201,26 @@
         auto call = request;
         if (m_mutation == Mutation::IgnoreDigest)
             call.digest = 1;
-        m_calls[id] = {n, it.life, request};
-        m_calls[id].probe = m_quiet;
-        deliver(n, 0ms, [this, n, id, call, atDoor] {
+        m_calls[id] = {n, it.processEpoch, request};
+        m_calls[id].isProbe = m_hasRecovered;
+        runOnInstance(n, 0ms, [this, n, id, call, rejectsEarly] {
             auto &engine = *m_instances[n].engine;
-            if (!atDoor)
-                return perform(n, engine.begin(id, call));
+            if (!rejectsEarly)
+                return execute(n, engine.begin(id, call));
             if (chance(30))
-                return perform(n, engine.beginClose(id, call, Core::ErrorKind::PoisonRequest));
+                return execute(n, engine.beginClose(id, call, Core::ErrorKind::PoisonRequest));
             const auto error = engine.earlyRejection(Core::ErrorKind::Overloaded, call.key);
-            const bool promise = m_mutation == Mutation::DoorPromises;
-            note(id, {nullptr, false, error.kind(), error.attempt(),
-                      promise ? Core::ExecutionStatus::NotRun : *error.key()});
+            const bool promise = m_mutation == Mutation::EarlyRejectionPromises;
+            recordAnswer(id, {nullptr, false, error.kind(), error.attempt(),
+                              promise ? Core::ExecutionStatus::NotRun : *error.key()});
         });
     });
 }
 
-void ClaimHistory::perform(std::size_t n, ClaimActions actions)
+void ClaimHistory::execute(std::size_t n, ClaimActions actions)
 {
     for (auto &action : actions) {
-        if (crashesHere(n))
+        if (maybeCrash(n))
             return;
         if (const auto *it = std::get_if<AppendBatch>(&action))
             append(n, *it);
@@ -239,7 +240,7 @@
     if (it.timerAt > now() && it.timerAt <= time)
         return;
     it.timerAt = time;
-    deliver(n, wait, [this, n] { perform(n, m_instances[n].engine->onTimer()); });
+    runOnInstance(n, wait, [this, n] { execute(n, m_instances[n].engine->onTimer()); });
 }
 
 void ClaimHistory::append(std::size_t n, const AppendBatch &batch)
@@ -251,22 +252,22 @@
             read(reader, batch.partition);
     };
     const auto reply = [this, n, id = batch.id](bool succeeded, Time delay) {
-        deliver(n, delay, [this, n, id, succeeded] {
-            perform(n, m_instances[n].engine->onAppendResult(id, succeeded));
+        runOnInstance(n, delay, [this, n, id, succeeded] {
+            execute(n, m_instances[n].engine->onAppendResult(id, succeeded));
         });
     };
-    if (logIsOut(n))
-        return reply(false, between(50, 500));
-    const auto kind = isCalm() ? 100 : m_rng() % 100;
-    if (kind < 5)
-        return reply(false, between(50, 500));
-    if (kind < 15) {
+    if (isLogUnavailable(n))
+        return reply(false, randomTime(50, 500));
+    const auto roll = isFaultFree() ? 100 : m_rng() % 100;
+    if (roll < 5)
+        return reply(false, randomTime(50, 500));
+    if (roll < 15) {
         // Takes effect late, at times long after the instance gave up.
-        at(between(1, 8000), takeEffect);
-        return reply(false, between(50, 500));
+        runAfter(randomTime(1, 8000), takeEffect);
+        return reply(false, randomTime(50, 500));
     }
-    at(between(1, 20), takeEffect);
-    reply(kind >= 25, between(21, 60));
+    runAfter(randomTime(1, 20), takeEffect);
+    reply(roll >= 25, randomTime(21, 60));
 }
 
 void ClaimHistory::read(std::size_t n, std::size_t partition)
@@ -275,21 +276,21 @@
     if (!it.engine || it.reading[partition])
         return;
     it.reading[partition] = true;
-    deliver(n, between(1, 20), [this, n, partition] {
+    runOnInstance(n, randomTime(1, 20), [this, n, partition] {
         auto &reader = m_instances[n];
         reader.reading[partition] = false;
-        if (logIsOut(n)) {
+        if (isLogUnavailable(n)) {
             reader.reading[partition] = true;
-            deliver(n, 200ms, [this, n, partition] {
+            runOnInstance(n, 200ms, [this, n, partition] {
                 m_instances[n].reading[partition] = false;
                 read(n, partition);
             });
             return;
         }
         const auto stream = ClaimEngine::streamName("", partition, PartitionCount);
-        auto page = m_log.read(stream, reader.engine->partition(partition).next(), 50);
+        auto page = m_log.read(stream, reader.engine->partition(partition).nextOffset(), 50);
         mutatePage(n, page);
-        perform(n, reader.engine->onPage(partition, page));
+        execute(n, reader.engine->onPage(partition, page));
     });
 }
 
@@ -297,40 +298,42 @@
 {
     const auto id = action.call;
     const auto reply = [this, n, id](Time delay, const HolderReply &it) {
-        deliver(n, delay,
-                [this, n, id, it] { perform(n, m_instances[n].engine->onHolderReply(id, it)); });
+        runOnInstance(n, delay, [this, n, id, it] {
+            execute(n, m_instances[n].engine->onHolderReply(id, it));
+        });
     };
     const auto holder = static_cast<std::size_t>(action.query.holder.instance.value().back() - '0');
     const auto &peer = m_instances[holder];
-    const bool reachable = peer.engine && peer.frozenUntil <= now() && !peer.cut
-                           && !m_instances[n].cut && (isCalm() || !chance(10));
+    const bool reachable = peer.engine && peer.frozenUntil <= now() && !peer.isDisconnected
+                           && !m_instances[n].isDisconnected && (isFaultFree() || !chance(10));
     if (reachable)
-        reply(between(2, 10), peer.engine->replyTo(action.query));
+        reply(randomTime(2, 10), peer.engine->replyTo(action.query));
     else
-        reply(between(50, 300), {HolderState::Unreachable, nullptr});
+        reply(randomTime(50, 300), {HolderState::Unreachable, nullptr});
 }
 
 void ClaimHistory::send(std::size_t n, CallId id)
 {
     ++m_wins[m_calls.at(id).key()];
-    deliver(n, chance(70) ? 0ms : between(1, 100), [this, n, id] {
-        if (crashesHere(n))
+    runOnInstance(n, chance(70) ? 0ms : randomTime(1, 100), [this, n, id] {
+        if (maybeCrash(n))
             return;
-        serve(n, id);
+        simulateService(n, id);
     });
 }
 
-void ClaimHistory::serve(std::size_t n, CallId id)
+void ClaimHistory::simulateService(std::size_t n, CallId id)
 {
     const auto result = [this, n, id](Time delay, const SendResult &it) {
-        deliver(n, delay,
-                [this, n, id, it] { perform(n, m_instances[n].engine->onSendResult(id, it)); });
+        runOnInstance(n, delay, [this, n, id, it] {
+            execute(n, m_instances[n].engine->onSendResult(id, it));
+        });
     };
     auto &call = m_calls.at(id);
     const auto request = call.request;
-    const auto kind = isCalm() ? 100 : m_rng() % 100;
-    if (kind < 15)
-        return result(between(1, 20),
+    const auto roll = isFaultFree() ? 100 : m_rng() % 100;
+    if (roll < 15)
+        return result(randomTime(1, 20),
                       {SendState::NotSent, nullptr, Core::ErrorKind::UpstreamUnreachable});
     call.sent = true;
     ++m_sends[request.key.text];
@@ -339,33 +342,33 @@
         ++m_runs[request.key.text];
     };
     const auto body = std::make_shared<StoredAnswer>(StoredAnswer {200, "text", bodyOf(request)});
-    if (kind >= 40) {
-        at(between(1, 30), runs);
-        return result(between(31, 800), {SendState::Answered, body});
+    if (roll >= 40) {
+        runAfter(randomTime(1, 30), runs);
+        return result(randomTime(31, 800), {SendState::Answered, body});
     }
     // The upstream crashes, runs with its answer lost, or runs and answers after the timeout.
-    if (kind < 32)
-        at(between(1, 4000), runs);
-    result(between(100, 1500), {SendState::OutcomeLost, nullptr});
-    if (kind < 24) {
-        deliver(n, between(4001, 6000), [this, n, request, body] {
-            perform(n, m_instances[n].engine->onLateAnswer(request.key, body));
+    if (roll < 32)
+        runAfter(randomTime(1, 4000), runs);
+    result(randomTime(100, 1500), {SendState::OutcomeLost, nullptr});
+    if (roll < 24) {
+        runOnInstance(n, randomTime(4001, 6000), [this, n, request, body] {
+            execute(n, m_instances[n].engine->onLateAnswer(request.key, body));
         });
     }
     if (m_mutation == Mutation::ResendAfterLoss)
-        deliver(n, between(1600, 2000), [this, n, id] { serve(n, id); });
+        runOnInstance(n, randomTime(1600, 2000), [this, n, id] { simulateService(n, id); });
 }
 
 void ClaimHistory::answer(std::size_t n, const AnswerAction &action)
 {
     auto outcome = action.outcome;
-    const bool gaveUp = outcome.error == Core::ErrorKind::LogUnavailable;
-    if (m_mutation == Mutation::SendWithoutVerdict && gaveUp)
-        serve(n, action.call);
-    m_calls.at(action.call).lateClaim = m_mutation == Mutation::SendLateClaim && gaveUp;
+    const bool claimTimedOut = outcome.error == Core::ErrorKind::LogUnavailable;
+    if (m_mutation == Mutation::SendWithoutVerdict && claimTimedOut)
+        simulateService(n, action.call);
+    m_calls.at(action.call).sendsLateClaim = m_mutation == Mutation::SendLateClaim && claimTimedOut;
     if (m_mutation == Mutation::ExpiryPromises && outcome.error == Core::ErrorKind::KeyExpired)
         outcome.key = Core::ExecutionStatus::NotRun;
-    note(action.call, outcome);
+    recordAnswer(action.call, outcome);
 }
 
 void ClaimHistory::mutatePage(std::size_t n, Platform::LogPage &page)
@@ -382,8 +385,8 @@
     std::vector<ClaimRecord> kept;
     const auto records = decodeBatch(entry.data).value();
     for (const auto &it : records) {
-        const bool own = it.attempt.origin == origin;
-        if (m_mutation == Mutation::BlindReaders && !own)
+        const bool isOwn = it.attempt.origin == origin;
+        if (m_mutation == Mutation::ReadOnlyOwnClaims && !isOwn)
             continue;
         if (m_mutation == Mutation::IgnoreVoids && it.kind == RecordKind::Void)
             continue;
@@ -396,11 +399,11 @@
             }
             m_lastClaims.insert_or_assign(name, std::pair(it, now()));
         }
-        if (own && it.kind == RecordKind::Claim) {
+        if (isOwn && it.kind == RecordKind::Claim) {
             for (auto &[id, call] : m_calls) {
-                if (call.lateClaim && call.request.key == it.key)
-                    serve(n, id);
-                call.lateClaim = call.lateClaim && !(call.request.key == it.key);
+                if (call.sendsLateClaim && call.request.key == it.key)
+                    simulateService(n, id);
+                call.sendsLateClaim = call.sendsLateClaim && !(call.request.key == it.key);
             }
         }
         kept.push_back(it);
--- a/Tests/LibClaims/ClaimHistory.h
+++ b/Tests/LibClaims/ClaimHistory.h
@@ -14,7 +14,7 @@
 enum class Mutation {
     None,
     /// Readers see no claims but their own.
-    BlindReaders,
+    ReadOnlyOwnClaims,
     /// Readers take a claim for void when it is older than a lease.
     LeaseTakeover,
     /// A send whose outcome is lost is tried again.
@@ -28,7 +28,7 @@
     /// Readers do not notice missing records.
     HideGaps,
     /// A refusal at the door says that the key has not run.
-    DoorPromises,
+    EarlyRejectionPromises,
     /// A refusal of an expired key says that the key has not run.
     ExpiryPromises,
     /// A restarted instance names its attempts by its incarnation alone.
@@ -40,7 +40,7 @@
 /// What may fail in a history. The seed chooses.
 enum class HistoryKind {
     EarlyLoss,
-    Calm,
+    FaultFree,
     FaultsWithoutCrashes,
     Faults,
 };
@@ -51,7 +51,7 @@
 struct HistoryReport
 {
     /// Every breach of a promise, in words; empty when all held.
-    std::vector<std::string> breaches;
+    std::vector<std::string> violations;
     std::size_t answers = 0;
     std::size_t unknownKeys = 0;
     std::size_t runs = 0;
@@ -88,23 +88,23 @@
     };
     struct Instance
     {
-        std::uint64_t life = 0;
+        std::uint64_t processEpoch = 0;
         std::unique_ptr<Claims::ClaimEngine> engine;
         Time frozenUntil {0};
         Time timerAt {-1};
-        bool cut = false;
+        bool isDisconnected = false;
         std::vector<bool> reading;
     };
     struct Call
     {
         std::size_t instance = 0;
-        std::uint64_t life = 0;
+        std::uint64_t processEpoch = 0;
         Claims::Call request;
         bool sent = false;
         bool ran = false;
         bool answered = false;
-        bool lateClaim = false;
-        bool probe = false;
+        bool sendsLateClaim = false;
+        bool isProbe = false;
 
         const std::string &key() const { return request.key.text; }
     };
@@ -112,8 +112,8 @@
     {
         Claims::CallId call = 0;
         Claims::Outcome outcome;
-        bool keyRanThen = false;
-        bool keyWonThen = false;
+        bool keyHadRun = false;
+        bool keyHadWinner = false;
     };
 
     /// What the service answers to a request; it names key and body.
@@ -122,32 +122,32 @@
         return request.key.text + "/" + std::to_string(request.digest);
     }
     Time now() const;
-    Time between(int low, int high);
+    Time randomTime(int low, int high);
     bool chance(int percent);
-    void at(Time delay, Task task);
-    void deliver(std::size_t n, Time delay, Task task);
+    void runAfter(Time delay, Task task);
+    void runOnInstance(std::size_t n, Time delay, Task task);
     void start(std::size_t n);
     void crash(std::size_t n);
-    bool isCalm() const { return m_quiet || m_kind == HistoryKind::Calm; }
+    bool isFaultFree() const { return m_hasRecovered || m_kind == HistoryKind::FaultFree; }
     bool hasCrashes() const;
-    bool crashesHere(std::size_t n);
-    bool logIsOut(std::size_t n) const;
-    void plan();
-    void planFaults();
-    void callAt(Time time, std::size_t n, const Claims::Call &request, bool atDoor);
-    void perform(std::size_t n, Claims::ClaimActions actions);
+    bool maybeCrash(std::size_t n);
+    bool isLogUnavailable(std::size_t n) const;
+    void scheduleCalls();
+    void scheduleFaults();
+    void scheduleCall(Time time, std::size_t n, const Claims::Call &request, bool rejectsEarly);
+    void execute(std::size_t n, Claims::ClaimActions actions);
     void append(std::size_t n, const Claims::AppendBatch &batch);
     void read(std::size_t n, std::size_t partition);
     void ask(std::size_t n, const Claims::AskAction &action);
     void send(std::size_t n, Claims::CallId id);
-    void serve(std::size_t n, Claims::CallId id);
+    void simulateService(std::size_t n, Claims::CallId id);
     void answer(std::size_t n, const Claims::AnswerAction &action);
-    void note(Claims::CallId id, const Claims::Outcome &outcome);
+    void recordAnswer(Claims::CallId id, const Claims::Outcome &outcome);
     void mutatePage(std::size_t n, Platform::LogPage &page);
     void mutateRecords(std::size_t n, Platform::LogRecord &entry);
-    void probe();
+    void scheduleProbes();
     void check();
-    void breach(Claims::CallId id, const std::string &text);
+    void addViolation(Claims::CallId id, const std::string &text);
 
     std::mt19937_64 m_rng;
     Mutation m_mutation;
@@ -165,10 +165,10 @@
     std::map<std::string, std::size_t> m_wins;
     std::map<std::string, std::size_t> m_sends;
     std::map<std::string, std::pair<Claims::ClaimRecord, Time>> m_lastClaims;
-    Time m_outFrom {0};
-    Time m_outUntil {0};
-    bool m_quiet = false;
-    bool m_hasLongSleep = false;
+    Time m_outageStart {0};
+    Time m_outageEnd {0};
+    bool m_hasRecovered = false;
+    bool m_hasLongFreeze = false;
     /// Restarted instances come up with the same incarnation number.
     bool m_reusesIncarnations = false;
     HistoryReport m_report;
--- a/Tests/LibClaims/ClaimHistoryCheck.cpp
+++ b/Tests/LibClaims/ClaimHistoryCheck.cpp
@@ -3,11 +3,11 @@
 using namespace Claims;
 using namespace std::chrono_literals;
 
-void ClaimHistory::note(CallId id, const Outcome &outcome)
+void ClaimHistory::recordAnswer(CallId id, const Outcome &outcome)
 {
     auto &call = m_calls.at(id);
     if (call.answered)
-        breach(id, "answered twice");
+        addViolation(id, "answered twice");
     call.answered = true;
     const auto key = call.key();
     m_answers.push_back({id, outcome, m_runs[key] > 0, m_wins[key] > 0});
@@ -23,21 +23,21 @@
         engine.partition(engine.partitionOf(call.request.key)).index().find(call.request.key);
     if (view && view->certain
         && (view->state == KeyState::Finished || view->state == KeyState::Closed))
-        breach(id, "unknown, though the log that was read tells");
+        addViolation(id, "unknown, though the log that was read tells");
 }
 
 // When all is well again (but for an instance that still sleeps), one more attempt of each key at
 // an instance that never failed must learn the truth: nothing may hold a key that was never sent.
-void ClaimHistory::probe()
+void ClaimHistory::scheduleProbes()
 {
-    m_quiet = true;
-    m_outUntil = now();
+    m_hasRecovered = true;
+    m_outageEnd = now();
     std::map<std::string, Claims::Call> keys;
     for (const auto &[id, call] : m_calls)
         keys.insert_or_assign(call.key(), call.request);
     for (auto &[name, request] : keys) {
         request.digest = 1;
-        callAt(20s, 0, request, false);
+        scheduleCall(20s, 0, request, false);
     }
 }
 
@@ -46,33 +46,33 @@
     for (const auto &[key, count] : m_runs) {
         m_report.runs += count;
         if (count > 1)
-            breach(0, key + " ran " + std::to_string(count) + " times");
+            addViolation(0, key + " ran " + std::to_string(count) + " times");
     }
     for (const auto &it : m_answers) {
         const auto &call = m_calls.at(it.call);
         const auto &outcome = it.outcome;
         const auto key = call.key();
         if (outcome.attempt == Core::ExecutionStatus::NotRun && call.ran)
-            breach(it.call, "the attempt was said not to run and ran");
+            addViolation(it.call, "the attempt was said not to run and ran");
         if (outcome.attempt == Core::ExecutionStatus::Run && !call.ran)
-            breach(it.call, "the attempt was said to have run and did not");
+            addViolation(it.call, "the attempt was said to have run and did not");
         if (outcome.key == Core::ExecutionStatus::NotRun && m_runs[key] > 0)
-            breach(it.call, "the key was said not to run and ran");
-        if (outcome.key == Core::ExecutionStatus::Run && !it.keyRanThen)
-            breach(it.call, "the key was said to have run and had not");
-        if (outcome.key == Core::ExecutionStatus::Running && !it.keyWonThen)
-            breach(it.call, "the key was said to be running and nobody had won it");
+            addViolation(it.call, "the key was said not to run and ran");
+        if (outcome.key == Core::ExecutionStatus::Run && !it.keyHadRun)
+            addViolation(it.call, "the key was said to have run and had not");
+        if (outcome.key == Core::ExecutionStatus::Running && !it.keyHadWinner)
+            addViolation(it.call, "the key was said to be running and nobody had won it");
         if (outcome.answer && outcome.answer->body != bodyOf(call.request))
-            breach(it.call, "the answer is another request's");
+            addViolation(it.call, "the answer is another request's");
         const bool inDoubt = outcome.error == Core::ErrorKind::KeyOutcomeUnknown
                              || outcome.error == Core::ErrorKind::KeyInProgress;
-        if (call.probe && inDoubt && m_report.crashes == 0 && !m_hasLongSleep
+        if (call.isProbe && inDoubt && m_report.crashes == 0 && !m_hasLongFreeze
             && m_kind != HistoryKind::EarlyLoss && m_sends[key] == 0)
-            breach(it.call, "a key that was never sent is held for good");
+            addViolation(it.call, "a key that was never sent is held for good");
     }
     for (const auto &[id, call] : m_calls) {
-        if (!call.answered && call.life == m_instances[call.instance].life)
-            breach(id, "never answered");
+        if (!call.answered && call.processEpoch == m_instances[call.instance].processEpoch)
+            addViolation(id, "never answered");
     }
     for (const auto &it : m_instances) {
         m_report.voids += it.engine->counters().voids;
@@ -80,7 +80,7 @@
     }
 }
 
-void ClaimHistory::breach(CallId id, const std::string &text)
+void ClaimHistory::addViolation(CallId id, const std::string &text)
 {
-    m_report.breaches.push_back("call " + std::to_string(id) + ": " + text);
+    m_report.violations.push_back("call " + std::to_string(id) + ": " + text);
 }
--- a/Tests/LibClaims/TestClaimCoordinator.cpp
+++ b/Tests/LibClaims/TestClaimCoordinator.cpp
@@ -25,7 +25,7 @@
 
     Asio::awaitable<Platform::LogOffset> append(std::string stream, std::string data) override
     {
-        if (isOut)
+        if (isUnavailable)
             throw Core::Error(Core::ErrorKind::PlatformUnavailable);
         const auto offset = co_await m_service.append(std::move(stream), std::move(data));
         if (losesAnswers)
@@ -36,12 +36,12 @@
     Asio::awaitable<Platform::LogPage> read(std::string stream, Platform::LogOffset from,
                                             std::size_t limit, std::chrono::milliseconds) override
     {
-        if (isOut)
+        if (isUnavailable)
             throw Core::Error(Core::ErrorKind::PlatformUnavailable);
         co_return co_await m_service.read(std::move(stream), from, limit, 10ms);
     }
 
-    std::atomic<bool> isOut {false};
+    std::atomic<bool> isUnavailable {false};
     std::atomic<bool> losesAnswers {false};
 
 private:
@@ -50,9 +50,9 @@
 };
 
 /// Two coordinators before one log and one plain service that counts its runs.
-struct Site
+struct CoordinatorFixture
 {
-    explicit Site(std::chrono::milliseconds claimTimeout = 60s)
+    explicit CoordinatorFixture(std::chrono::milliseconds claimTimeout = 60s)
     {
         Core::configureEventLog(Core::LogFormat::Text, Core::EventLevel::Error);
         ClaimSettings settings {KeyWindow::create(10min, 1min, 1h, 1min).value()};
@@ -71,7 +71,7 @@
             coordinators.back()->start();
         }
     }
-    ~Site() { threads.stop(); }
+    ~CoordinatorFixture() { threads.stop(); }
 
     std::future<Outcome> call(std::size_t n, const std::string &key,
                               SendState state = SendState::Answered)
@@ -102,53 +102,54 @@
 
 TEST_CASE("many calls of one key at two instances run it once and all get the answer")
 {
-    Site site;
-    site.log.losesAnswers = true;
+    CoordinatorFixture fixture;
+    fixture.log.losesAnswers = true;
     for (int key = 0; key < 20; ++key) {
         std::vector<std::future<Outcome>> calls;
         for (std::size_t n = 0; n < 8; ++n)
-            calls.push_back(site.call(n % 2, "k" + std::to_string(key)));
-        std::size_t firsts = 0;
+            calls.push_back(fixture.call(n % 2, "k" + std::to_string(key)));
+        std::size_t firstAnswers = 0;
         for (auto &it : calls) {
             const auto outcome = it.get();
             REQUIRE(outcome.answer);
             CHECK(outcome.answer->body == "done");
             CHECK(outcome.key == Core::ExecutionStatus::Run);
-            firsts += outcome.replayed ? 0 : 1;
+            firstAnswers += outcome.replayed ? 0 : 1;
         }
-        CHECK(firsts == 1);
-        CHECK(site.runs == key + 1);
+        CHECK(firstAnswers == 1);
+        CHECK(fixture.runs == key + 1);
     }
 }
 
 TEST_CASE("with the log out nothing runs, and the key runs once it is back")
 {
-    Site site(300ms);
-    site.log.isOut = true;
-    const auto refused = site.call(0, "k").get();
+    CoordinatorFixture fixture(300ms);
+    fixture.log.isUnavailable = true;
+    const auto refused = fixture.call(0, "k").get();
     CHECK(refused.error == Core::ErrorKind::LogUnavailable);
     CHECK(refused.attempt == Core::ExecutionStatus::NotRun);
     CHECK(refused.key == Core::ExecutionStatus::Unknown);
-    CHECK(site.runs == 0);
-    site.log.isOut = false;
+    CHECK(fixture.runs == 0);
+    fixture.log.isUnavailable = false;
     Outcome outcome;
     for (int n = 0; n < 50 && !outcome.answer; ++n)
-        outcome = site.call(1, "k").get();
+        outcome = fixture.call(1, "k").get();
     CHECK(outcome.answer);
-    CHECK(site.runs == 1);
+    CHECK(fixture.runs == 1);
 }
 
 TEST_CASE("a call that no upstream took is refused for good, and a lost outcome says so")
 {
-    Site site;
-    const auto refused = site.call(0, "k", SendState::NotSent).get();
+    CoordinatorFixture fixture;
+    const auto refused = fixture.call(0, "k", SendState::NotSent).get();
     CHECK(refused.error == Core::ErrorKind::UpstreamUnreachable);
     CHECK(refused.key == Core::ExecutionStatus::NotRun);
-    const auto resent = site.call(1, "k").get();
+    const auto resent = fixture.call(1, "k").get();
     CHECK(resent.error == Core::ErrorKind::KeyClosed);
     CHECK(resent.key == Core::ExecutionStatus::NotRun);
-    CHECK(site.runs == 0);
-    CHECK(site.call(0, "lost", SendState::OutcomeLost).get().key == Core::ExecutionStatus::Unknown);
-    CHECK(site.call(1, "lost").get().error == Core::ErrorKind::KeyOutcomeUnknown);
-    CHECK(site.runs == 1);
+    CHECK(fixture.runs == 0);
+    CHECK(fixture.call(0, "lost", SendState::OutcomeLost).get().key
+          == Core::ExecutionStatus::Unknown);
+    CHECK(fixture.call(1, "lost").get().error == Core::ErrorKind::KeyOutcomeUnknown);
+    CHECK(fixture.runs == 1);
 }
--- a/Tests/LibClaims/TestClaimEngine.cpp
+++ b/Tests/LibClaims/TestClaimEngine.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 /// One engine before a log of one partition that the test writes by hand.
-struct Scene
+struct EngineFixture
 {
-    Scene() { Core::configureEventLog(Core::LogFormat::Text, Core::EventLevel::Error); }
+    EngineFixture() { Core::configureEventLog(Core::LogFormat::Text, Core::EventLevel::Error); }
 
     static ClaimSettings settings()
     {
@@ -42,7 +42,7 @@
         }
         return std::nullopt;
     }
-    ExecutionStatus fateAtDoor() const
+    ExecutionStatus earlyRejectionKeyStatus() const
     {
         return *engine.earlyRejection(ErrorKind::Overloaded, call.key).key();
     }
@@ -59,24 +59,24 @@
 
 TEST_CASE("a refusal at the door says of the key only what the log shows")
 {
-    Scene scene;
-    CHECK(scene.engine.earlyRejection(ErrorKind::Draining, scene.call.key).attempt()
+    EngineFixture fixture;
+    CHECK(fixture.engine.earlyRejection(ErrorKind::Draining, fixture.call.key).attempt()
           == ExecutionStatus::NotRun);
-    CHECK(scene.fateAtDoor() == ExecutionStatus::Unknown);
-    scene.readFromOther(RecordKind::Claim);
-    CHECK(scene.fateAtDoor() == ExecutionStatus::Unknown);
-    scene.readFromOther(RecordKind::Finished);
-    CHECK(scene.fateAtDoor() == ExecutionStatus::Run);
-    Scene closed;
+    CHECK(fixture.earlyRejectionKeyStatus() == ExecutionStatus::Unknown);
+    fixture.readFromOther(RecordKind::Claim);
+    CHECK(fixture.earlyRejectionKeyStatus() == ExecutionStatus::Unknown);
+    fixture.readFromOther(RecordKind::Finished);
+    CHECK(fixture.earlyRejectionKeyStatus() == ExecutionStatus::Run);
+    EngineFixture closed;
     closed.readFromOther(RecordKind::Close);
-    CHECK(closed.fateAtDoor() == ExecutionStatus::NotRun);
+    CHECK(closed.earlyRejectionKeyStatus() == ExecutionStatus::NotRun);
 }
 
 TEST_CASE("an expired key is refused without a word about its past")
 {
-    Scene scene;
-    scene.clock.advance(61s);
-    const auto answer = Scene::find<AnswerAction>(scene.engine.begin(1, scene.call));
+    EngineFixture fixture;
+    fixture.clock.advance(61s);
+    const auto answer = EngineFixture::find<AnswerAction>(fixture.engine.begin(1, fixture.call));
     REQUIRE(answer);
     CHECK(answer->outcome.error == ErrorKind::KeyExpired);
     CHECK(answer->outcome.attempt == ExecutionStatus::NotRun);
@@ -85,52 +85,52 @@
 
 TEST_CASE("a claim that lands after its caller was refused is voided and never sent")
 {
-    Scene scene;
-    scene.engine.begin(1, scene.call);
-    scene.clock.advance(2ms);
-    const auto claim = Scene::find<AppendBatch>(scene.engine.onTimer());
+    EngineFixture fixture;
+    fixture.engine.begin(1, fixture.call);
+    fixture.clock.advance(2ms);
+    const auto claim = EngineFixture::find<AppendBatch>(fixture.engine.onTimer());
     REQUIRE(claim);
-    scene.clock.advance(3s);
-    const auto refused = Scene::find<AnswerAction>(scene.engine.onTimer());
+    fixture.clock.advance(3s);
+    const auto refused = EngineFixture::find<AnswerAction>(fixture.engine.onTimer());
     REQUIRE(refused);
     CHECK(refused->outcome.error == ErrorKind::LogUnavailable);
     CHECK(refused->outcome.attempt == ExecutionStatus::NotRun);
     CHECK(refused->outcome.key == ExecutionStatus::Unknown);
-    CHECK_FALSE(Scene::find<SendAction>(scene.read(claim->data)));
-    scene.clock.advance(2ms);
-    const auto voided = Scene::find<AppendBatch>(scene.engine.onTimer());
+    CHECK_FALSE(EngineFixture::find<SendAction>(fixture.read(claim->data)));
+    fixture.clock.advance(2ms);
+    const auto voided = EngineFixture::find<AppendBatch>(fixture.engine.onTimer());
     REQUIRE(voided);
     CHECK(decodeBatch(voided->data).value().front().kind == RecordKind::Void);
     // The void is repeated until it is read back, and then the key is free.
-    scene.engine.onAppendResult(voided->id, false);
-    CHECK(scene.engine.pendingRecords() == 1);
-    scene.read(voided->data);
-    CHECK(scene.engine.pendingRecords() == 0);
-    CHECK(scene.engine.partition(0).index().find(scene.call.key)->state == KeyState::Free);
+    fixture.engine.onAppendResult(voided->id, false);
+    CHECK(fixture.engine.pendingRecords() == 1);
+    fixture.read(voided->data);
+    CHECK(fixture.engine.pendingRecords() == 0);
+    CHECK(fixture.engine.partition(0).index().find(fixture.call.key)->state == KeyState::Free);
 }
 
 TEST_CASE("a claimant that wakes after its timeout does not send")
 {
-    Scene scene;
-    scene.engine.begin(1, scene.call);
-    scene.clock.advance(2ms);
-    const auto claim = Scene::find<AppendBatch>(scene.engine.onTimer());
+    EngineFixture fixture;
+    fixture.engine.begin(1, fixture.call);
+    fixture.clock.advance(2ms);
+    const auto claim = EngineFixture::find<AppendBatch>(fixture.engine.onTimer());
     REQUIRE(claim);
     // The page comes before any timer, as after a long stop of the process.
-    scene.clock.advance(10s);
-    const auto actions = scene.read(claim->data);
-    CHECK_FALSE(Scene::find<SendAction>(actions));
-    CHECK(Scene::find<AnswerAction>(actions)->outcome.attempt == ExecutionStatus::NotRun);
+    fixture.clock.advance(10s);
+    const auto actions = fixture.read(claim->data);
+    CHECK_FALSE(EngineFixture::find<SendAction>(actions));
+    CHECK(EngineFixture::find<AnswerAction>(actions)->outcome.attempt == ExecutionStatus::NotRun);
 }
 
 TEST_CASE("a winner sends once, however often its claim is read")
 {
-    Scene scene;
-    scene.engine.begin(1, scene.call);
-    scene.clock.advance(2ms);
-    const auto claim = Scene::find<AppendBatch>(scene.engine.onTimer());
+    EngineFixture fixture;
+    fixture.engine.begin(1, fixture.call);
+    fixture.clock.advance(2ms);
+    const auto claim = EngineFixture::find<AppendBatch>(fixture.engine.onTimer());
     REQUIRE(claim);
-    CHECK(Scene::find<SendAction>(scene.read(claim->data)));
-    CHECK_FALSE(Scene::find<SendAction>(scene.read(claim->data)));
-    CHECK(scene.fateAtDoor() == ExecutionStatus::Running);
+    CHECK(EngineFixture::find<SendAction>(fixture.read(claim->data)));
+    CHECK_FALSE(EngineFixture::find<SendAction>(fixture.read(claim->data)));
+    CHECK(fixture.earlyRejectionKeyStatus() == ExecutionStatus::Running);
 }
--- a/Tests/LibClaims/TestClaimHistories.cpp
+++ b/Tests/LibClaims/TestClaimHistories.cpp
@@ -9,12 +9,12 @@
 constexpr std::uint64_t MutatedHistoryCount = 800;
 
 /// How often a promise broke in the given words, over some seeds, with one mechanism switched off.
-std::size_t breachesWith(Mutation mutation, const std::string &words)
+std::size_t violationsWith(Mutation mutation, const std::string &words)
 {
     Core::configureEventLog(Core::LogFormat::Text, Core::EventLevel::Error);
     std::size_t n = 0;
     for (std::uint64_t seed = 0; seed < MutatedHistoryCount; ++seed) {
-        for (const auto &it : ClaimHistory(seed, mutation).run().breaches)
+        for (const auto &it : ClaimHistory(seed, mutation).run().violations)
             n += it.find(words) == std::string::npos ? 0 : 1;
     }
     WARN("without the mechanism: " << n << " times \"" << words << '"');
@@ -52,11 +52,11 @@
     std::map<HistoryKind, HistoryReport> totals;
     for (std::uint64_t seed = 0; seed < HistoryCount; ++seed) {
         const auto report = ClaimHistory(seed, Mutation::None).run();
-        for (const auto &it : report.breaches)
+        for (const auto &it : report.violations)
             FAIL_CHECK("seed " << seed << ": " << it);
         add(totals[historyKind(seed)], report);
     }
-    print("calm", totals[HistoryKind::Calm]);
+    print("calm", totals[HistoryKind::FaultFree]);
     print("faults without crashes", totals[HistoryKind::FaultsWithoutCrashes]);
     print("faults", totals[HistoryKind::Faults]);
     print("faults and early loss of records", totals[HistoryKind::EarlyLoss]);
@@ -65,60 +65,60 @@
     CHECK(totals[HistoryKind::Faults].rebuilds > HistoryCount / 100);
     CHECK(totals[HistoryKind::EarlyLoss].rebuilds > HistoryCount / 8);
     CHECK(totals[HistoryKind::FaultsWithoutCrashes].voids > HistoryCount / 16);
-    CHECK(totals[HistoryKind::Calm].replays > HistoryCount / 4);
+    CHECK(totals[HistoryKind::FaultFree].replays > HistoryCount / 4);
     // With nothing failing, only what was refused at the door or is past its window is unknown.
-    for (const auto &[kind, n] : totals[HistoryKind::Calm].unknownByKind)
+    for (const auto &[kind, n] : totals[HistoryKind::FaultFree].unknownByKind)
         CHECK((kind == "overloaded" || kind == "key_expired"));
 }
 
 TEST_CASE("without the log's order keys run twice")
 {
-    CHECK(breachesWith(Mutation::BlindReaders, " times") > 0);
+    CHECK(violationsWith(Mutation::ReadOnlyOwnClaims, " times") > 0);
 }
 
 TEST_CASE("with leases instead of claims for good a frozen holder runs a key twice")
 {
-    CHECK(breachesWith(Mutation::LeaseTakeover, " times") > 0);
+    CHECK(violationsWith(Mutation::LeaseTakeover, " times") > 0);
 }
 
 TEST_CASE("with a second send after a lost outcome keys run twice")
 {
-    CHECK(breachesWith(Mutation::ResendAfterLoss, " times") > 0);
+    CHECK(violationsWith(Mutation::ResendAfterLoss, " times") > 0);
 }
 
 TEST_CASE("with sends that wait for no verdict keys run twice and refusals are false")
 {
-    CHECK(breachesWith(Mutation::SendWithoutVerdict, " times") > 0);
-    CHECK(breachesWith(Mutation::SendWithoutVerdict, "attempt was said not to run") > 0);
+    CHECK(violationsWith(Mutation::SendWithoutVerdict, " times") > 0);
+    CHECK(violationsWith(Mutation::SendWithoutVerdict, "attempt was said not to run") > 0);
 }
 
 TEST_CASE("with a late claim carried out a refusal turns out false")
 {
-    CHECK(breachesWith(Mutation::SendLateClaim, "attempt was said not to run") > 0);
+    CHECK(violationsWith(Mutation::SendLateClaim, "attempt was said not to run") > 0);
 }
 
 TEST_CASE("without voids a key that was never sent stays held")
 {
-    CHECK(breachesWith(Mutation::IgnoreVoids, "held for good") > 0);
+    CHECK(violationsWith(Mutation::IgnoreVoids, "held for good") > 0);
 }
 
 TEST_CASE("without notice of lost records keys run twice")
 {
-    CHECK(breachesWith(Mutation::HideGaps, " times") > 0);
+    CHECK(violationsWith(Mutation::HideGaps, " times") > 0);
 }
 
 TEST_CASE("with promises at the door or for expired keys refusals are false")
 {
-    CHECK(breachesWith(Mutation::DoorPromises, "key was said not to run") > 0);
-    CHECK(breachesWith(Mutation::ExpiryPromises, "key was said not to run") > 0);
+    CHECK(violationsWith(Mutation::EarlyRejectionPromises, "key was said not to run") > 0);
+    CHECK(violationsWith(Mutation::ExpiryPromises, "key was said not to run") > 0);
 }
 
 TEST_CASE("without a fresh origin a restarted instance takes old claims for its own")
 {
-    CHECK(breachesWith(Mutation::ReuseOrigin, " times") > 0);
+    CHECK(violationsWith(Mutation::ReuseOrigin, " times") > 0);
 }
 
 TEST_CASE("without the request's digest a caller gets another request's answer")
 {
-    CHECK(breachesWith(Mutation::IgnoreDigest, "another request's") > 0);
+    CHECK(violationsWith(Mutation::IgnoreDigest, "another request's") > 0);
 }
--- a/Tests/LibClaims/TestClaimIndex.cpp
+++ b/Tests/LibClaims/TestClaimIndex.cpp
@@ -31,7 +31,7 @@
 {
     Platform::LogOffset offset = 0;
     AttemptId attempt;
-    VerdictKind kind = VerdictKind::Dead;
+    VerdictKind kind = VerdictKind::AttemptEnded;
     friend bool operator==(const Decision &, const Decision &) = default;
 };
 
@@ -61,9 +61,9 @@
 {
     ClaimPartition reader(testWindow());
     std::vector<Decision> decisions;
-    while (reader.next() < next) {
+    while (reader.nextOffset() < next) {
         Platform::LogPage page {first, next, {}};
-        const auto from = std::max(first, reader.next());
+        const auto from = std::max(first, reader.nextOffset());
         const auto until = std::min<Platform::LogOffset>(next, from + 1 + rng() % 7);
         page.records.assign(stream.begin() + static_cast<std::ptrdiff_t>(from),
                             stream.begin() + static_cast<std::ptrdiff_t>(until));
@@ -91,7 +91,7 @@
     CHECK(index.apply(record(RecordKind::Claim, 3, 0, 8), Epoch).kind == VerdictKind::Conflict);
     index.apply(record(RecordKind::Void, 1), Epoch);
     // The claim that lost has answered its caller and must not come back to life.
-    CHECK(index.apply(record(RecordKind::Claim, 2), Epoch).kind == VerdictKind::Dead);
+    CHECK(index.apply(record(RecordKind::Claim, 2), Epoch).kind == VerdictKind::AttemptEnded);
     CHECK(index.apply(record(RecordKind::Claim, 4), Epoch).kind == VerdictKind::Won);
 }
 
@@ -99,7 +99,7 @@
 {
     ClaimIndex index(testWindow());
     index.apply(record(RecordKind::Void, 1), Epoch);
-    CHECK(index.apply(record(RecordKind::Claim, 1), Epoch).kind == VerdictKind::Dead);
+    CHECK(index.apply(record(RecordKind::Claim, 1), Epoch).kind == VerdictKind::AttemptEnded);
     CHECK(index.apply(record(RecordKind::Claim, 2), Epoch).kind == VerdictKind::Won);
 }
 
@@ -141,12 +141,14 @@
     ClaimPartition reader(testWindow());
     auto it = record(RecordKind::Claim, 1);
     VerdictKind last {};
-    const auto note = [&](const ClaimRecord &, const Verdict &verdict) { last = verdict.kind; };
-    reader.consume({5, 6, {{5, Epoch + 10s, encodeBatch({&it, 1})}}}, Epoch, note);
+    const auto recordVerdict = [&](const ClaimRecord &, const Verdict &verdict) {
+        last = verdict.kind;
+    };
+    reader.consume({5, 6, {{5, Epoch + 10s, encodeBatch({&it, 1})}}}, Epoch, recordVerdict);
     CHECK(last == VerdictKind::Uncertain);
     it = record(RecordKind::Claim, 2, 1);
     it.key.issuedAt = Epoch + 13s;
-    reader.consume({5, 7, {{6, Epoch + 13s, encodeBatch({&it, 1})}}}, Epoch, note);
+    reader.consume({5, 7, {{6, Epoch + 13s, encodeBatch({&it, 1})}}}, Epoch, recordVerdict);
     CHECK(last == VerdictKind::Won);
     CHECK(reader.rebuildCount() == 1);
 }
--- a/Tests/LibClaims/TestClaimMeasures.cpp
+++ b/Tests/LibClaims/TestClaimMeasures.cpp
@@ -30,7 +30,7 @@
     ClaimCounters counters;
     ClaimWriter writer({}, partitions, counters);
     const auto claims = rate * 20;
-    double waited = 0;
+    double totalWaitMs = 0;
     for (std::uint64_t n = 0; n < claims; ++n) {
         const auto partition = n * 7919 % partitions;
         writer.enqueue(partition, record(n), clock.now());
@@ -39,40 +39,41 @@
             for (const auto &it : writer.poll(clock.now()))
                 writer.onResult(it.id, true, clock.now());
             const auto step = std::min<std::chrono::nanoseconds>(1ms, next - clock.now());
-            waited += static_cast<double>(writer.pendingCount())
-                      * std::chrono::duration<double, std::milli>(step).count();
+            totalWaitMs += static_cast<double>(writer.pendingCount())
+                           * std::chrono::duration<double, std::milli>(step).count();
             clock.advance(step);
         }
     }
     std::cout << partitions << "  " << rate << "  " << static_cast<double>(counters.appends) / 20
               << "  " << static_cast<double>(counters.appends) / static_cast<double>(claims) << "  "
-              << waited / static_cast<double>(claims) << "  " << counters.appendBytes / claims
+              << totalWaitMs / static_cast<double>(claims) << "  " << counters.appendBytes / claims
               << '\n';
 }
 
 /// The same for calls that finish 50 ms after their claim, before four partitions.
-void measureFinished(std::uint64_t rate, std::chrono::milliseconds finishedAge)
+void measureFinished(std::uint64_t rate, std::chrono::milliseconds maxFinishedAge)
 {
     Core::ManualClock clock;
     ClaimCounters counters;
-    ClaimWriter writer({.finishedAge = finishedAge}, 4, counters);
-    const auto gap = std::chrono::nanoseconds(1s) / rate;
+    ClaimWriter writer({.maxFinishedAge = maxFinishedAge}, 4, counters);
+    const auto interval = std::chrono::nanoseconds(1s) / rate;
     const auto claims = rate * 20;
-    const auto behind = static_cast<std::uint64_t>(50ms / gap) + 1;
-    for (std::uint64_t n = 0; n < claims + behind; ++n) {
+    const auto unfinishedCalls = static_cast<std::uint64_t>(50ms / interval) + 1;
+    for (std::uint64_t n = 0; n < claims + unfinishedCalls; ++n) {
         if (n < claims)
             writer.enqueue(n * 7919 % 4, record(n), clock.now());
-        for (auto left = gap; left > 0ns; left -= std::min<std::chrono::nanoseconds>(left, 1ms)) {
+        for (auto remaining = interval; remaining > 0ns;
+             remaining -= std::min<std::chrono::nanoseconds>(remaining, 1ms)) {
             for (const auto &it : writer.poll(clock.now()))
                 writer.onResult(it.id, true, clock.now());
-            clock.advance(std::min<std::chrono::nanoseconds>(left, 1ms));
+            clock.advance(std::min<std::chrono::nanoseconds>(remaining, 1ms));
         }
-        if (n >= behind) {
-            const auto it = n - behind;
+        if (n >= unfinishedCalls) {
+            const auto it = n - unfinishedCalls;
             writer.enqueue(it * 7919 % 4, record(it, RecordKind::Finished), clock.now());
         }
     }
-    std::cout << finishedAge.count() << "  " << rate << "  "
+    std::cout << maxFinishedAge.count() << "  " << rate << "  "
               << static_cast<double>(counters.appends) / static_cast<double>(claims) << '\n';
 }
 
--- a/Tests/LibClaims/TestClaimWriter.cpp
+++ b/Tests/LibClaims/TestClaimWriter.cpp
@@ -44,7 +44,7 @@
 {
     Core::ManualClock clock;
     ClaimCounters counters;
-    ClaimWriter writer({.age = 5ms, .records = 3}, 1, counters);
+    ClaimWriter writer({.maxAge = 5ms, .maxRecords = 3}, 1, counters);
     writer.enqueue(0, claim(1), clock.now());
     CHECK(writer.poll(clock.now()).empty());
     CHECK(writer.nextDeadline(clock.now()) == clock.now() + 5ms);
