--- a/Libraries/LibClaims/ClaimRelay.cpp
+++ b/Libraries/LibClaims/ClaimWriterSelection.cpp
@@ -1,4 +1,4 @@
-#include <LibClaims/ClaimRelay.h>
+#include <LibClaims/ClaimWriterSelection.h>
 #include <LibCore/Hash.h>
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 namespace Claims {
 
 std::vector<Core::InstanceId>
-claimWriters(std::size_t partition, std::span<const Core::InstanceId> live, std::size_t count)
+selectClaimWriters(std::size_t partition, std::span<const Core::InstanceId> live, std::size_t count)
 {
     struct Candidate
     {
@@ -20,12 +20,12 @@
     const auto ranksHigher = [](const Candidate &left, const Candidate &right) {
         return left.rank > right.rank;
     };
-    const auto kept = std::min(count, ranked.size());
-    std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(kept),
+    const auto selectedCount = std::min(count, ranked.size());
+    std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(selectedCount),
                       ranked.end(), ranksHigher);
     std::vector<Core::InstanceId> writers;
-    writers.reserve(kept);
-    for (std::size_t n = 0; n < kept; ++n)
+    writers.reserve(selectedCount);
+    for (std::size_t n = 0; n < selectedCount; ++n)
         writers.push_back(*ranked[n].id);
     return writers;
 }
--- a/Tests/LibClaims/TestClaimWriter.cpp
+++ b/Tests/LibClaims/TestClaimWriter.cpp
@@ -1,6 +1,6 @@
 #include <LibClaims/ClaimCodec.h>
-#include <LibClaims/ClaimRelay.h>
 #include <LibClaims/ClaimWriter.h>
+#include <LibClaims/ClaimWriterSelection.h>
 #include <LibCore/ManualClock.h>
 
 #include <catch2/catch.hpp>
@@ -135,14 +135,14 @@
         live.emplace_back("instance-" + std::to_string(n));
     std::size_t moved = 0;
     for (std::size_t partition = 0; partition < 64; ++partition) {
-        const auto before = claimWriters(partition, live, 2);
+        const auto before = selectClaimWriters(partition, live, 2);
         REQUIRE(before.size() == 2);
         auto shuffled = live;
         std::reverse(shuffled.begin(), shuffled.end());
-        CHECK(claimWriters(partition, shuffled, 2) == before);
+        CHECK(selectClaimWriters(partition, shuffled, 2) == before);
         shuffled.pop_back();
-        moved += claimWriters(partition, shuffled, 2) == before ? 0 : 1;
+        moved += selectClaimWriters(partition, shuffled, 2) == before ? 0 : 1;
     }
     CHECK(moved <= 4);
-    CHECK(claimWriters(0, {}, 2).empty());
+    CHECK(selectClaimWriters(0, {}, 2).empty());
 }
--- a/Utilities/jujubecapacity/AppendRole.cpp
+++ b/Utilities/jujubecapacity/AppendRole.cpp
@@ -1,9 +1,9 @@
 #include "Roles.h"
 
 #include <LibClaims/ClaimCodec.h>
-#include <LibClaims/ClaimRelay.h>
 #include <LibClaims/ClaimSettings.h>
 #include <LibClaims/ClaimWriter.h>
+#include <LibClaims/ClaimWriterSelection.h>
 #include <LibCore/ManualClock.h>
 
 #include <memory>
@@ -34,7 +34,7 @@
                                                                       Partitions, m_counters));
         }
         for (std::size_t n = 0; n < Partitions; ++n) {
-            const auto chosen = Claims::claimWriters(n, live, 1).front();
+            const auto chosen = Claims::selectClaimWriters(n, live, 1).front();
             const auto it = std::find(live.begin(), live.end(), chosen);
             m_chosen.push_back(static_cast<std::size_t>(std::distance(live.begin(), it)));
         }
