--- a/Libraries/LibAccounting/Settlement.cpp
+++ b/Libraries/LibAccounting/Settlement.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// One owner's part of a capacity, and how much of it is still free.
+/// The part of one owner's capacity that is still unused.
 struct OwnedCapacity
 {
     Core::TeamId owner;
@@ -32,7 +32,7 @@
     return owners;
 }
 
-/// Takes the amount from what the owners have left, in proportion.
+/// Charges the amount to the owners' remaining capacity, in proportion to each remainder.
 void lend(std::vector<OwnedCapacity> &owners, const Core::TeamId &user, SlotMicroseconds amount,
           Settlement &settlement)
 {
@@ -53,7 +53,7 @@
 
 std::vector<std::uint64_t> apportion(std::uint64_t amount, std::span<const std::uint64_t> weights)
 {
-    // The product of two 64-bit amounts needs more than 64 bits.
+    // The product of two 64-bit numbers needs up to 128 bits.
     __extension__ using Wide = unsigned __int128;
     std::vector<std::uint64_t> parts(weights.size(), 0);
     const Wide total = std::accumulate(weights.begin(), weights.end(), Wide(0));
--- a/Libraries/LibAccounting/Settlement.h
+++ b/Libraries/LibAccounting/Settlement.h
@@ -7,10 +7,10 @@
 
 namespace Accounting {
 
-/// Parts of a capacity are counted in millionths.
+/// A share of 100 percent. Shares are expressed in millionths of a group's capacity.
 constexpr std::uint64_t FullShare = 1'000'000;
 
-/// What one team owns of a group, in millionths.
+/// The share of a group's capacity that one team owns, in millionths.
 struct OwnedShare
 {
     Core::TeamId team;
@@ -18,7 +18,7 @@
 };
 
 /// Capacity of one owner that one team used. The owner is empty for capacity that no contract
-/// gives to a team.
+/// assigns to a team.
 struct ServedRow
 {
     Core::TeamId owner;
@@ -26,29 +26,30 @@
     SlotMicroseconds slots = 0;
 };
 
-/// Capacity of one owner that nobody used.
+/// Capacity of one owner that no team used.
 struct IdleRow
 {
     Core::TeamId owner;
     SlotMicroseconds slots = 0;
 };
 
-/// Who used whose capacity in one stretch of time. The served rows and the idle rows together add
-/// up to the capacity exactly; the served rows and the overrun add up to the use exactly.
+/// Which team used which owner's capacity in one interval. The served rows plus the idle rows equal
+/// the capacity exactly, and the served rows plus the overrun equal the total use exactly.
 struct Settlement
 {
     std::vector<ServedRow> served;
     std::vector<IdleRow> idle;
-    /// Use beyond the capacity: work that went on after its slots were given back.
+    /// Use in excess of the capacity: requests that were still running after the instance returned
+    /// their slots.
     SlotMicroseconds overrun = 0;
 };
 
-/// Divides an amount in proportion to the weights, in whole units that add up to it exactly. All
-/// zero weights give all zero parts.
+/// Divides an amount in proportion to the weights into integers whose sum equals the amount
+/// exactly. If all weights are zero, all parts are zero.
 std::vector<std::uint64_t> apportion(std::uint64_t amount, std::span<const std::uint64_t> weights);
 
-/// Settles one stretch: a team's use falls first on its own capacity; the rest on what the owners
-/// left, in proportion to what each left.
+/// Settles one interval. A team's use is charged to its own capacity first. The excess is charged
+/// to the capacity that the owners left unused, in proportion to each owner's remainder.
 Settlement settle(SlotMicroseconds capacity, std::span<const OwnedShare> shares,
                   std::span<const TeamUse> uses);
 
--- a/Libraries/LibAccounting/UsageLedger.cpp
+++ b/Libraries/LibAccounting/UsageLedger.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Adds up settlements row by row.
+/// Sums settlements per owner and user.
 class SettlementSum
 {
 public:
@@ -35,7 +35,7 @@
     SlotMicroseconds m_overrun = 0;
 };
 
-/// The account of one group while it is added up.
+/// Running totals of one group.
 struct GroupSum
 {
     SlotMicroseconds capacity = 0;
--- a/Libraries/LibAccounting/UsageLedger.h
+++ b/Libraries/LibAccounting/UsageLedger.h
@@ -12,21 +12,21 @@
 
 namespace Accounting {
 
-/// Gives the owned shares of a group in a generation of the configuration.
+/// Returns the owned shares of a group in the given generation of the configuration.
 using ShareLookup =
     std::function<std::vector<OwnedShare>(const Core::UpstreamGroupId &, std::uint64_t generation)>;
 
-/// The account of one group.
+/// The usage of one group in the reported period.
 struct GroupUsage
 {
     Core::UpstreamGroupId group;
-    /// Slots held by all instances, times the time.
+    /// Slots held by all instances, integrated over time.
     SlotMicroseconds capacity = 0;
     Settlement settlement;
     std::vector<TeamUse> uses;
 };
 
-/// Records that are known to be missing.
+/// A range of records that are known to be missing from the log.
 struct UsageGap
 {
     Core::InstanceId instance;
@@ -35,8 +35,9 @@
     std::uint64_t count = 0;
 };
 
-/// An incarnation that has not said that it ended. What it did after its last record is not in the
-/// account: at most one interval while the log was up, and the outage besides.
+/// An incarnation of an instance whose log has no final batch. Its usage after `accountedUntil` is
+/// not in the report: at most one metering interval while the log was available, plus the duration
+/// of a log outage.
 struct OpenIncarnation
 {
     Core::InstanceId instance;
@@ -44,7 +45,7 @@
     Core::Clock::Wall accountedUntil;
 };
 
-/// What `jujubectl usage` shows.
+/// The report that `jujubectl usage` prints.
 struct UsageReport
 {
     std::vector<GroupUsage> groups;
@@ -52,20 +53,20 @@
     std::vector<OpenIncarnation> open;
 };
 
-/// Builds the account from the log's records, in any order and with any of them doubled. Records of
-/// all instances are settled together for each stretch of time, so that a team that works at one
-/// instance and owns slots at another does not seem to borrow. Not safe for several threads at
-/// once.
+/// Aggregates the usage records of the log, which may arrive in any order and more than once. The
+/// records of all instances are settled together for each interval, so that a team that sends its
+/// requests to one instance and owns slots at another is not counted as a borrower. Not
+/// thread-safe.
 class UsageLedger
 {
 public:
-    /// `stretch` is the time over which lending is settled.
+    /// `interval` is the length of time over which borrowed capacity is settled.
     UsageLedger(ShareLookup shares, std::chrono::seconds interval);
 
-    /// Takes one log record. Errors: FrameInvalid; the account is then unchanged.
+    /// Adds one log record. Errors: FrameInvalid, in which case the ledger is unchanged.
     Core::Result<void> apply(std::string_view bytes);
 
-    /// The account of the records that start in [from, to).
+    /// Returns the usage of the records that start in [from, to).
     UsageReport report(Core::Clock::Wall from, Core::Clock::Wall to) const;
 
 private:
@@ -96,8 +97,9 @@
     };
     struct SourceState
     {
-        /// All records up to this one were seen.
+        /// All sequence numbers up to and including this one were received.
         std::uint64_t seenUpTo = 0;
+        /// Sequence numbers received after a gap.
         std::set<std::uint64_t> seenBeyond;
         bool hasEnded = false;
         Core::Clock::Wall accountedUntil;
--- a/Libraries/LibAccounting/UsageMeter.cpp
+++ b/Libraries/LibAccounting/UsageMeter.cpp
@@ -70,7 +70,7 @@
         state.intervalStart = now;
         state.wallStart = m_clock.wallNow();
     }
-    // Two threads may have read the clock in the other order than they took the lock.
+    // Clock readings of different threads may be out of order, so the difference is clamped to 0.
     const auto elapsed = std::max(std::chrono::microseconds(0), now - *state.accountedUntil);
     const auto micros = static_cast<std::uint64_t>(elapsed.count());
     state.capacity += state.share * micros;
--- a/Libraries/LibAccounting/UsageMeter.h
+++ b/Libraries/LibAccounting/UsageMeter.h
@@ -10,24 +10,25 @@
 
 namespace Accounting {
 
-/// Counts, at one instance, the slots held and used of each group to the microsecond, and the
-/// tokens of each team. Safe from any thread; groups are spread over locks.
+/// Measures the slot time that one instance holds and uses in each group, in microseconds, and
+/// counts each team's tokens. Thread-safe; the groups are sharded over several mutexes.
 class UsageMeter
 {
 public:
-    /// The clock must outlive the meter. Durations come from its monotonic time.
+    /// The clock must outlive the meter. Durations are measured on its monotonic time.
     explicit UsageMeter(const Core::Clock &clock);
 
-    /// The instance holds this many slots of the group from now on.
+    /// Records that the instance holds this many slots of the group from now on.
     void noteShare(const Core::UpstreamGroupId &group, std::uint32_t slots);
-    /// A request of the team took a slot.
+    /// Records that a request of the team occupied a slot.
     void noteStarted(const Core::UpstreamGroupId &group, const Core::TeamId &team);
-    /// A request of the team gave its slot back, with the tokens that its upstream reported.
+    /// Records that a request of the team released its slot, with the token counts that its
+    /// upstream reported.
     void noteFinished(const Core::UpstreamGroupId &group, const Core::TeamId &team,
                       const TokenCounts &tokens);
 
-    /// Ends the interval of every group and returns its records, without sequence numbers. The
-    /// next interval starts at the same moment, so that nothing falls between two.
+    /// Ends the current interval of every group and returns the records, without sequence numbers.
+    /// The next interval starts at the same instant, so no time is lost between intervals.
     std::vector<UsageRecord> closeInterval(std::uint64_t generation);
 
 private:
@@ -55,7 +56,7 @@
 
     Shard &shardOf(const Core::UpstreamGroupId &group);
     std::chrono::microseconds monotonicNow() const;
-    /// Adds up to now what is held and used.
+    /// Adds the slot time held and used since the last call.
     void advance(GroupState &state) const;
     UsageRecord close(const Core::UpstreamGroupId &group, GroupState &state,
                       std::uint64_t generation) const;
--- a/Libraries/LibAccounting/UsageOutbox.h
+++ b/Libraries/LibAccounting/UsageOutbox.h
@@ -9,26 +9,29 @@
 
 namespace Accounting {
 
-/// Keeps an instance's records until the platform's log has taken them. A batch whose append got
-/// no answer is sent again with the same numbers, so that it counts once. While the log is out,
-/// records that were never sent are joined, group by group, which loses detail in time and no
-/// amount; the memory stays bounded by the number of groups. What a crash loses is what was not
-/// appended: the present interval and, during an outage, all since its start. Safe from any thread.
+/// Buffers an instance's usage records until the platform's log has acknowledged them. A batch
+/// whose append was not acknowledged is sent again with the same sequence numbers, so that it is
+/// counted once. While the log is unavailable, unsent records of the same group and configuration
+/// are merged: this loses time resolution but no usage, and bounds the memory by the number of
+/// groups. A crash loses the records that were not appended: the current interval and, during an
+/// outage, everything since its start. Thread-safe.
 class UsageOutbox
 {
 public:
     UsageOutbox(Core::InstanceId instance, std::uint64_t incarnation);
 
-    /// Adds records of one closed interval.
+    /// Adds the records of one closed interval.
     void add(std::vector<UsageRecord> records);
 
-    /// The bytes to append now: the batch that is still unanswered, or all that waits. Nothing
-    /// when there is nothing to append. With `isLast` the batch says that no other follows.
+    /// Returns the encoded batch to append next: the unacknowledged batch if there is one,
+    /// otherwise a new batch of all unsent records. Returns nullopt if there is nothing to append.
+    /// With `isLast` the new batch is marked as the final batch of this incarnation, even if it has
+    /// no records.
     std::optional<std::string> nextBatch(bool isLast = false);
-    /// The log has taken the batch that nextBatch() gave.
+    /// Records that the log has acknowledged the batch that nextBatch() returned.
     void noteAppended();
 
-    /// Records not yet known to be in the log.
+    /// Returns the number of records that are not yet acknowledged by the log.
     std::size_t pending() const;
 
 private:
@@ -41,7 +44,8 @@
     std::size_t m_unacknowledgedRecords = 0;
 };
 
-/// Joins two records of one group and one configuration into one from the earlier start.
+/// Merges two records of the same group and configuration into one that starts at the earlier
+/// start.
 UsageRecord merged(const UsageRecord &first, const UsageRecord &second);
 
 } // namespace Accounting
--- a/Libraries/LibAccounting/UsageRecord.h
+++ b/Libraries/LibAccounting/UsageRecord.h
@@ -12,15 +12,15 @@
 
 namespace Accounting {
 
-/// Slots held or used, times the microseconds of it.
+/// A number of slots multiplied by the time for which they were held or used, in microseconds.
 using SlotMicroseconds = std::uint64_t;
 
-/// Tokens that upstreams reported.
+/// Token counts reported by upstreams.
 struct TokenCounts
 {
-    /// Prompt tokens that were computed.
+    /// Prompt tokens that the upstream computed.
     std::uint64_t computed = 0;
-    /// Prompt tokens found in a cache.
+    /// Prompt tokens that the upstream read from a cache.
     std::uint64_t cached = 0;
     std::uint64_t generated = 0;
 
@@ -34,7 +34,7 @@
     friend bool operator==(const TokenCounts &, const TokenCounts &) = default;
 };
 
-/// What one team used in a record's interval.
+/// One team's use of a group in the interval of a record.
 struct TeamUse
 {
     Core::TeamId team;
@@ -44,39 +44,39 @@
     friend bool operator==(const TeamUse &, const TeamUse &) = default;
 };
 
-/// What one instance held and the teams used of one group in one interval.
+/// The capacity of one group that an instance held in one interval, and its use by each team.
 struct UsageRecord
 {
-    /// Grows by one a record of the instance's incarnation, from 1.
+    /// Sequence number within the instance's incarnation, starting at 1.
     std::uint64_t sequence = 0;
     Core::UpstreamGroupId group;
-    /// The configuration whose contracts were in force.
+    /// Generation of the configuration whose contracts applied.
     std::uint64_t generation = 0;
     Core::Clock::Wall start;
     std::chrono::microseconds length {0};
-    /// Slots that the instance held, times the interval.
+    /// Slots that the instance held, integrated over the interval.
     SlotMicroseconds capacity = 0;
     std::vector<TeamUse> uses;
 
     friend bool operator==(const UsageRecord &, const UsageRecord &) = default;
 };
 
-/// Records of one instance as one append to the platform's log carries them.
+/// The usage records of one instance that are written to the platform's log in one append.
 struct UsageBatch
 {
     Core::InstanceId instance;
     std::uint64_t incarnation = 0;
-    /// Whether the instance ended in order and writes no more records in this incarnation.
+    /// Whether the instance shut down cleanly and writes no more records in this incarnation.
     bool isLast = false;
     std::vector<UsageRecord> records;
 
     friend bool operator==(const UsageBatch &, const UsageBatch &) = default;
 };
 
-/// The batch as bytes for the log.
+/// Serializes the batch for the log.
 std::string encode(const UsageBatch &batch);
 
-/// Reads a batch. Errors: FrameInvalid when the bytes do not verify.
+/// Deserializes a batch. Errors: FrameInvalid if the bytes fail FlatBuffers verification.
 Core::Result<UsageBatch> decodeUsageBatch(std::string_view bytes);
 
 } // namespace Accounting
--- a/Libraries/LibClaims/AnswerStore.h
+++ b/Libraries/LibClaims/AnswerStore.h
@@ -10,9 +10,9 @@
 
 namespace Claims {
 
-/// What became of this instance's own attempts that won a key, for siblings and resends: states
-/// for as long as the key may be asked for, answers also within a bound on bytes (the oldest go
-/// first). Not safe from several threads.
+/// Stores the state and the answer of this instance's own attempts, for queries by siblings and for
+/// resends. States are kept until they expire. Answers are also limited by total size; the oldest
+/// are evicted first. Not thread-safe.
 class AnswerStore
 {
 public:
@@ -21,11 +21,11 @@
     { }
 
     void setState(const AttemptId &attempt, HolderState state, IssueTime expiresAt);
-    /// Marks the attempt as finished with its answer.
+    /// Marks the attempt as finished and stores its answer.
     void finish(const AttemptId &attempt, AnswerPointer answer, IssueTime expiresAt);
-    /// Empty for an attempt that never held a key, or whose key is forgotten.
+    /// Returns nullopt for an attempt that has no entry or whose entry has expired.
     std::optional<HolderReply> find(const AttemptId &attempt) const;
-    /// Drops everything whose time has come.
+    /// Removes all entries whose expiry time has passed.
     void expire(std::chrono::system_clock::time_point now);
 
     std::size_t answerBytes() const { return m_bytes; }
@@ -43,7 +43,7 @@
     std::size_t m_maxAnswerBytes;
     std::size_t m_bytes = 0;
     std::unordered_map<AttemptId, Entry> m_attempts;
-    /// Attempts with an answer, the oldest first.
+    /// Attempts that finished, oldest first.
     std::deque<AttemptId> m_answered;
 };
 
--- a/Libraries/LibClaims/ClaimAttempt.cpp
+++ b/Libraries/LibClaims/ClaimAttempt.cpp
@@ -95,7 +95,8 @@
     case VerdictKind::Expired:
         return answer(refused(ErrorKind::KeyExpired, ExecutionStatus::Unknown));
     case VerdictKind::InFuture:
-        // A repeated append may bring the same claim again when its time has come.
+        // A repeated append of the same claim could win later, when its issue time is no longer in
+        // the future. The void prevents that.
         return voidAndRefuse(ErrorKind::IssueTimeInFuture);
     case VerdictKind::AttemptEnded:
         return answer(refused(ErrorKind::LogUnavailable, ExecutionStatus::Unknown));
@@ -193,7 +194,7 @@
     return {AskStep {holding}};
 }
 
-// The call is refused whatever the holder says; only the key's status is asked for.
+// The call is refused whatever the holder replies; the reply only determines the key's status.
 ClaimAttempt::Steps ClaimAttempt::refuseWithKeyStatus(ErrorKind refusal,
                                                       const std::optional<Holding> &holding)
 {
@@ -224,7 +225,8 @@
     return steps;
 }
 
-// The caller still waits, so the record that frees nobody but promises most is worth its append.
+// Unlike a void, a close prevents any later run of the key, and therefore lets the refusal state
+// that the key has not run. The caller is still waiting for its answer, so it is worth an append.
 ClaimAttempt::Steps ClaimAttempt::closeKey(ErrorKind refusal, Core::Clock::Monotonic now)
 {
     m_state = State::Closing;
--- a/Libraries/LibClaims/ClaimAttempt.h
+++ b/Libraries/LibClaims/ClaimAttempt.h
@@ -12,26 +12,27 @@
 
 namespace Claims {
 
-/// Append a record of the given kind for the given attempt.
+/// Requests that a record of the given kind be appended for the attempt.
 struct AppendStep
 {
     RecordKind kind = RecordKind::Claim;
     AttemptId attempt;
 };
 
-/// Ask the holder what became of its attempt. A reply must follow, if only Unreachable.
+/// Requests a query to the holder of the key. onHolderReply() must follow, with Unreachable if no
+/// reply arrives.
 struct AskStep
 {
     Holding holding;
 };
 
-/// Send the request to an upstream, once. A result must follow.
+/// Requests that the call be sent to an upstream exactly once. onSendResult() must follow.
 struct SendStep
 {
     AttemptId attempt;
 };
 
-/// Answer the caller. Nothing follows.
+/// Requests that the caller be answered. This is the last step of an attempt.
 struct AnswerStep
 {
     Outcome outcome;
@@ -39,18 +40,17 @@
 
 using AttemptStep = std::variant<AppendStep, AskStep, SendStep, AnswerStep>;
 
-/// What an attempt needs of its surroundings.
+/// Callbacks through which an attempt uses its engine.
 struct AttemptHooks
 {
-    /// A fresh attempt id.
+    /// Returns a new, unique attempt id.
     std::function<AttemptId()> nextId;
-    /// What the log, read so far, shows of the call's key.
+    /// Returns the state of the call's key according to the part of the log read so far.
     std::function<std::optional<KeyView>()> lookUp;
 };
 
-/// The decisions of one call, from its claim to its answer. It sends only in answer to winning,
-/// within the claim timeout, and at most once. Does no input or output. Not safe from several
-/// threads.
+/// State machine of one call, from its claim to its answer. It sends the request at most once, and
+/// only if it wins its claim within the claim timeout. Does no input or output. Not thread-safe.
 class ClaimAttempt
 {
 public:
@@ -58,11 +58,12 @@
 
     ClaimAttempt(Call call, const ClaimSettings &settings, AttemptHooks hooks);
 
-    /// Starts to run the call.
+    /// Starts the call.
     Steps start(Core::Clock::Monotonic now);
-    /// Starts to seal the key, to refuse the call with a promise about all instances.
+    /// Starts to close the key and refuse the call. A closed key guarantees that no instance has
+    /// run or will run the call.
     Steps startClose(Core::ErrorKind refusal, Core::Clock::Monotonic now);
-    /// The log decided this call's present attempt.
+    /// Handles the log's verdict on the current attempt of this call.
     Steps onVerdict(const Verdict &verdict, Core::Clock::Monotonic now);
     Steps onHolderReply(const HolderReply &reply, Core::Clock::Monotonic now);
     Steps onSendResult(const SendResult &result, Core::Clock::Monotonic now);
@@ -72,7 +73,8 @@
     const AttemptId &id() const { return m_id; }
     bool isClaiming() const { return m_state == State::Claiming; }
     bool isDone() const { return m_state == State::Done; }
-    /// When onTimer() is due; empty while the request is being sent.
+    /// Returns when onTimer() is due, or nullopt while the request is being sent and after the
+    /// answer.
     std::optional<Core::Clock::Monotonic> deadline() const;
 
 private:
@@ -102,12 +104,13 @@
     State m_state = State::Claiming;
     AttemptId m_id;
     Core::Clock::Monotonic m_startedAt {};
-    /// When the present state is given up.
+    /// When the Claiming or Closing state times out.
     Core::Clock::Monotonic m_deadline {};
-    /// When a waiting call asks again.
+    /// When a call in the Waiting state queries the holder again.
     Core::Clock::Monotonic m_askAgainAt {};
+    /// Whether the log shows that the key has run.
     bool m_hasKeyRun = false;
-    /// Set when the holder is asked for the key's status alone.
+    /// Set if the call is refused in any case and the holder is queried only for the key's status.
     std::optional<Core::ErrorKind> m_statusOnlyRefusal;
     Core::ErrorKind m_refusal = Core::ErrorKind::UpstreamUnreachable;
 };
--- a/Libraries/LibClaims/ClaimCodec.cpp
+++ b/Libraries/LibClaims/ClaimCodec.cpp
@@ -55,7 +55,7 @@
 
 std::optional<std::vector<ClaimRecord>> decodeBatch(std::string_view bytes)
 {
-    // FlatBuffers reads scalars in place, so the buffer has to be aligned as the builder left it.
+    // FlatBuffers reads scalars in place and requires an aligned buffer, so the bytes are copied.
     const std::vector<std::uint8_t> buf(bytes.begin(), bytes.end());
     flatbuffers::Verifier verifier(buf.data(), buf.size());
     if (!Wire::VerifyBatchBuffer(verifier))
--- a/Libraries/LibClaims/ClaimCodec.h
+++ b/Libraries/LibClaims/ClaimCodec.h
@@ -10,11 +10,11 @@
 
 namespace Claims {
 
-/// The bytes of one append: a FlatBuffers Batch.
+/// Serializes the records of one append as a FlatBuffers Batch.
 std::string encodeBatch(std::span<const ClaimRecord> records);
 
-/// The records of one append. Empty when the bytes do not verify or hold an impossible record: the
-/// whole append is then passed over by every reader alike.
+/// Deserializes the records of one append. Returns nullopt if the bytes fail verification or
+/// contain an invalid record; every reader then skips the whole append, so that all readers agree.
 std::optional<std::vector<ClaimRecord>> decodeBatch(std::string_view bytes);
 
 } // namespace Claims
--- a/Libraries/LibClaims/ClaimCoordinator.cpp
+++ b/Libraries/LibClaims/ClaimCoordinator.cpp
@@ -128,7 +128,7 @@
     return bytes;
 }
 
-// The mailbox holds the one outcome, so that an answer that comes at once is not lost.
+// The mailbox buffers one outcome, so that an answer sent before the caller receives is not lost.
 std::shared_ptr<ClaimCoordinator::Mailbox> ClaimCoordinator::registerCall(CallId id,
                                                                           SendOnce sendOnce)
 {
@@ -223,7 +223,7 @@
         wakeTimer();
 }
 
-// How long the timer may sleep. Events that bring an earlier deadline wake it.
+// Returns how long the timer may sleep. Events that set an earlier deadline wake it.
 std::chrono::nanoseconds ClaimCoordinator::armTimer()
 {
     std::scoped_lock lock(m_engineMutex);
@@ -249,7 +249,7 @@
     }
 }
 
-// The completion handler keeps this object alive for as long as the coroutine runs.
+// The completion handler keeps this object alive while the coroutine runs.
 void ClaimCoordinator::spawn(const Asio::any_io_executor &executor, Asio::awaitable<void> coroutine)
 {
     Asio::co_spawn(executor, std::move(coroutine),
@@ -279,7 +279,7 @@
     mailbox->try_send(boost::system::error_code {}, std::move(action.outcome));
 }
 
-// Posted to the timer's strand, where runTimers() then computes its deadline anew.
+// Cancels the timer on its strand; runTimers() then computes a new deadline.
 void ClaimCoordinator::wakeTimer()
 {
     Asio::post(m_timerStrand, [self = shared_from_this()] { self->m_timer.cancel(); });
--- a/Libraries/LibClaims/ClaimCoordinator.h
+++ b/Libraries/LibClaims/ClaimCoordinator.h
@@ -17,50 +17,50 @@
 
 namespace Claims {
 
-/// Drives a ClaimEngine with the platform's log, the peer link and the upstreams. Safe from any
-/// thread. Its coroutines keep it alive until they end after stop().
+/// Connects a ClaimEngine to the platform's log, the peer link and the upstreams. Thread-safe. Its
+/// coroutines keep it alive until they end after stop().
 class ClaimCoordinator : public std::enable_shared_from_this<ClaimCoordinator>
 {
 public:
-    /// Sends the request to an upstream at most once and tells exactly what came of it. An
-    /// exception counts as an outcome lost. It goes on when the caller goes away, and must
-    /// therefore own what it uses.
+    /// Sends the request to an upstream at most once and returns the result. An exception counts as
+    /// OutcomeLost. The coroutine keeps running after the caller has disconnected, so it must own
+    /// everything it uses.
     using SendOnce = std::function<boost::asio::awaitable<SendResult>()>;
-    /// Asks a sibling over the peer link; the sibling answers with replyTo(). Unreachable when no
-    /// reply came in time, Gone when that life of the instance is known to be over. An exception
-    /// counts as Unreachable.
+    /// Queries a sibling over the peer link; the sibling answers with replyTo(). Returns
+    /// Unreachable if no reply arrives in time, and Gone if the holder's incarnation is known to
+    /// have ended. An exception counts as Unreachable.
     using AskHolder = std::function<boost::asio::awaitable<HolderReply>(HolderQuery)>;
 
-    /// Refuses settings without partitions or appends (SettingsInvalid). The executor's
+    /// Errors: SettingsInvalid if the settings allow no partitions or no appends. The executor's
     /// context, the log and the clock must outlive the coordinator.
     static Core::Result<std::shared_ptr<ClaimCoordinator>>
     create(boost::asio::any_io_executor executor, const ClaimSettings &settings, Holder self,
            Platform::LogService &log, const Core::Clock &clock, AskHolder askHolder);
 
-    /// Starts to read the partitions and to append.
+    /// Starts reading the partitions and appending records.
     void start();
-    /// Ends the coroutines of start() soon. For a graceful shutdown, wait until pendingRecords()
-    /// is 0 first.
+    /// Signals the coroutines of start() to end. For a graceful shutdown, wait first until
+    /// pendingRecords() is 0.
     void stop();
 
-    /// Runs a non-repeatable call, or learns what became of it. Does not throw for refusals: they
-    /// are outcomes.
+    /// Runs a non-repeatable call, or returns the result of an earlier attempt of the same key.
+    /// Refusals are returned as outcomes, not thrown.
     boost::asio::awaitable<Outcome> run(Call call, SendOnce sendOnce);
-    /// Refuses a call and seals its key, so that the refusal promises that nothing will ever run.
-    /// Costs an append: for refusals that a resend of the same key could not change.
+    /// Refuses a call and closes its key, which guarantees that the call never runs. Costs an
+    /// append, so use it only for refusals that a resend of the same key would not change.
     boost::asio::awaitable<Outcome> closeAndRefuse(Call call, Core::ErrorKind refusal);
-    /// The error for a call rejected early, with what is known of the key.
+    /// Returns the error for a call that is rejected early, including the key's known status.
     Core::Error earlyRejection(Core::ErrorKind kind, const ClaimKey &key) const;
-    /// What a sibling that asks is told.
+    /// Returns the reply to a sibling's query.
     HolderReply replyTo(const HolderQuery &query) const;
-    /// Takes an upstream's answer that came after its outcome was given up as lost.
+    /// Accepts an upstream's answer that arrived after the outcome was reported as lost.
     void lateAnswer(const ClaimKey &key, const AnswerPointer &answer);
 
-    /// Whether every partition was read to its end once.
+    /// Whether every partition has been read to its end at least once.
     bool isCaughtUp() const;
-    /// Records not yet known to be in the log.
+    /// Returns the number of records that are not yet known to be in the log.
     std::size_t pendingRecords() const;
-    /// Heap bytes of the claim indexes.
+    /// Returns the heap size of all claim indexes in bytes.
     std::size_t indexBytes() const;
     const ClaimCounters &counters() const { return m_engine.counters(); }
 
@@ -102,7 +102,7 @@
     std::atomic<bool> m_stopping {false};
     mutable std::mutex m_engineMutex;
     ClaimEngine m_engine;
-    /// When the timer wakes; guarded by the engine's mutex.
+    /// When the timer expires next. Guarded by m_engineMutex.
     Core::Clock::Monotonic m_wakeAt {};
     std::mutex m_callsMutex;
     std::unordered_map<CallId, RunningCall> m_calls;
--- a/Libraries/LibClaims/ClaimEngine.cpp
+++ b/Libraries/LibClaims/ClaimEngine.cpp
@@ -55,7 +55,7 @@
     auto &reader = m_partitions[partition];
     const auto rebuilds = reader.rebuildCount();
     const auto malformed = reader.malformedCount();
-    // The whole page is read before anything is answered, so that answers say all that it tells.
+    // The whole page is applied before any call is answered, so that answers reflect all of it.
     std::vector<std::pair<ClaimRecord, Verdict>> ownRecords;
     reader.consume(page, m_clock.wallNow(), [&](const auto &record, const auto &verdict) {
         if (record.attempt.origin == m_origin)
@@ -210,7 +210,7 @@
 {
     auto refusal = m_settings.window.check(request.key, m_clock.wallNow());
     const auto &index = m_partitions[partitionOf(request.key)].index();
-    // A claim on an uncertain key would only have to be voided.
+    // A claim on an uncertain key cannot win and would have to be voided.
     if (!refusal && !index.find(request.key) && !index.isCertain(request.key.issuedAt))
         refusal = ErrorKind::KeyOutcomeUnknown;
     if (refusal)
@@ -286,7 +286,7 @@
 {
     const auto it = m_calls.find(call);
     if (it != m_calls.end()) {
-        // The log may by now say more than the attempt learned.
+        // The log may show more than the attempt knew when it decided.
         if (outcome.key == ExecutionStatus::Unknown)
             outcome.key = keyExecutionStatus(it->second->call().key);
         if (outcome.error == ErrorKind::KeyOutcomeUnknown && outcome.key == ExecutionStatus::Run)
@@ -308,7 +308,7 @@
     if (!decides || call == m_callByAttempt.end())
         return;
     auto &attempt = *m_calls.at(call->second);
-    // A claim read back while the same attempt closes its key decides nothing any more.
+    // A claim that is read back after the same attempt has begun to close its key is ignored.
     if (attempt.id() != record.attempt
         || (record.kind == RecordKind::Claim && !attempt.isClaiming()))
         return;
--- a/Libraries/LibClaims/ClaimEngine.h
+++ b/Libraries/LibClaims/ClaimEngine.h
@@ -15,85 +15,86 @@
 
 namespace Claims {
 
-/// One call of this instance, from begin() to its answer.
+/// Identifies one call of this instance from begin() to its answer.
 using CallId = std::uint64_t;
 
-/// Ask the holder, then call onHolderReply().
+/// Requests a query to the holder; call onHolderReply() with the reply.
 struct AskAction
 {
     CallId call = 0;
     HolderQuery query;
 };
 
-/// Send the request once, then call onSendResult().
+/// Requests that the call be sent once; call onSendResult() with the result.
 struct SendAction
 {
     CallId call = 0;
 };
 
-/// Answer the caller.
+/// Requests that the caller be answered.
 struct AnswerAction
 {
     CallId call = 0;
     Outcome outcome;
 };
 
-/// What the engine wants done. Appends are answered by onAppendResult().
+/// An action that the engine's owner must perform. Call onAppendResult() with the result of an
+/// append.
 using ClaimAction = std::variant<AppendBatch, AskAction, SendAction, AnswerAction>;
 using ClaimActions = std::vector<ClaimAction>;
 
-/// All decisions of one instance about non-repeatable calls: it takes events (a call, an append's
-/// result, a page of the log, a holder's reply, an upstream's result, the passing of time) and
-/// returns actions. Does no input or output and reads no clock but the one passed in. Not safe
-/// from several threads.
+/// Makes all decisions of one instance about non-repeatable calls. It processes events (a call, an
+/// append's result, a page of the log, a holder's reply, an upstream's result, a timer) and returns
+/// actions. Does no input or output and uses only the clock passed in. Not thread-safe.
 class ClaimEngine
 {
 public:
-    /// The origin must be drawn anew for each life of an instance, because it tells its attempts
-    /// from those of earlier lives also when an incarnation number comes up twice.
+    /// The origin must be a new random number for each start of an instance: it distinguishes the
+    /// attempts of this process from those of earlier ones even if an incarnation number is reused.
     ClaimEngine(const ClaimSettings &settings, Holder self, std::uint64_t origin,
                 const Core::Clock &clock);
     ClaimEngine(const ClaimEngine &) = delete;
     ClaimEngine &operator=(const ClaimEngine &) = delete;
 
-    /// Takes a call. Its answer comes in an AnswerAction, at once or later.
+    /// Starts a call. Its answer is returned in an AnswerAction, immediately or by a later event.
     ClaimActions begin(CallId call, const Call &request);
-    /// Refuses a call with a promise about the key: seals it in the log, if nobody holds it.
+    /// Refuses a call and closes its key in the log unless another attempt holds it.
     ClaimActions beginClose(CallId call, const Call &request, Core::ErrorKind refusal);
     ClaimActions onAppendResult(std::uint64_t batchId, bool succeeded);
     ClaimActions onPage(std::size_t partition, const Platform::LogPage &page);
     ClaimActions onHolderReply(CallId call, const HolderReply &reply);
     ClaimActions onSendResult(CallId call, const SendResult &result);
-    /// An upstream's answer came after its outcome had been given up as lost.
+    /// Handles an upstream's answer that arrived after the outcome was reported as lost.
     ClaimActions onLateAnswer(const ClaimKey &key, const AnswerPointer &answer);
     ClaimActions onTimer();
-    /// When onTimer() is due, if nothing else happens.
+    /// Returns when onTimer() is due if no other event occurs first.
     std::optional<Core::Clock::Monotonic> nextDeadline() const;
 
-    /// What this instance knows of its own attempt, for a sibling that lost against it.
+    /// Returns the state of one of this instance's attempts, for a sibling that lost against it.
     HolderReply replyTo(const HolderQuery &query) const;
-    /// What can truthfully be said of a key without waiting for anybody.
+    /// Returns the execution status of a key as far as it is known locally, without waiting.
     Core::ExecutionStatus keyExecutionStatus(const ClaimKey &key) const;
-    /// The error for a call that is rejected early (overload, drain, log out, not ready,
-    /// expired key): this attempt did not run, and the key's status is what the log shows.
+    /// Returns the error for a call that is rejected early (overload, drain, log unavailable, not
+    /// ready, expired key): this attempt did not run, and the key's status is what the log shows.
     Core::Error earlyRejection(Core::ErrorKind kind, const ClaimKey &key) const;
 
     std::size_t partitionOf(const ClaimKey &key) const;
     std::size_t partitionCount() const { return m_partitions.size(); }
     const ClaimPartition &partition(std::size_t n) const { return m_partitions[n]; }
-    /// Whether every partition was read to its end.
+    /// Whether every partition has been read to its end at least once.
     bool isCaughtUp() const;
-    /// Records not yet known to be in the log. A graceful shutdown waits for none to be left.
+    /// Returns the number of records that are not yet known to be in the log. A graceful shutdown
+    /// waits until it is 0.
     std::size_t pendingRecords() const { return m_writer.pendingCount(); }
     const ClaimCounters &counters() const { return m_counters; }
     const Holder &self() const { return m_self; }
     std::uint64_t origin() const { return m_origin; }
 
-    /// The stream of one partition. The count is part of the name, so that instances that were
-    /// set up differently never share a stream.
+    /// Returns the stream name of a partition. The name includes the partition count, so that
+    /// instances with different settings never share a stream.
     static std::string streamName(const std::string &environment, std::size_t partition,
                                   std::size_t count);
-    /// The stream of one of this engine's partitions.
+    /// Returns the stream name of one of this engine's partitions.
     std::string streamName(std::size_t partition) const;
 
 private:
--- a/Libraries/LibClaims/ClaimIndex.cpp
+++ b/Libraries/LibClaims/ClaimIndex.cpp
@@ -5,7 +5,7 @@
 namespace Claims {
 
 namespace {
-// Expired entries are invisible at once and swept a few times a window.
+// Lookups ignore expired entries immediately; a sweep removes them this many times per window.
 constexpr int SweepsPerWindow = 16;
 } // namespace
 
@@ -15,8 +15,8 @@
     sweep();
     if (m_window.isExpired(record.key.issuedAt, m_logTime))
         return {VerdictKind::Expired, std::nullopt};
-    // Records ahead of their key's issue time count for nothing, whatever their kind. A reader that
-    // lost them then still decides like one that did not.
+    // Records that precede their key's issue time have no effect, whatever their kind. A reader
+    // that lost them therefore reaches the same verdicts as one that did not.
     if (m_window.isInFuture(record.key.issuedAt, m_logTime))
         return {VerdictKind::InFuture, std::nullopt};
     switch (record.kind) {
@@ -119,7 +119,7 @@
 
 std::size_t ClaimIndex::memoryBytes() const
 {
-    // The flat tables keep one byte of metadata a slot beside the values.
+    // The flat tables store one byte of metadata per slot in addition to the values.
     return m_entries.bucket_count() * (sizeof(decltype(m_entries)::value_type) + 1)
            + m_endedAttempts.bucket_count() * (sizeof(decltype(m_endedAttempts)::value_type) + 1)
            + m_holders.capacity() * sizeof(Holder);
@@ -142,7 +142,8 @@
 
 std::uint32_t ClaimIndex::internHolder(const Holder &holder)
 {
-    // A few hundred holders a window, the present ones last.
+    // There are a few hundred holders per window. The current ones are at the end, so the search
+    // starts there.
     const auto it = std::find(m_holders.rbegin(), m_holders.rend(), holder);
     if (it != m_holders.rend())
         return static_cast<std::uint32_t>(std::distance(it, m_holders.rend()) - 1);
--- a/Libraries/LibClaims/ClaimIndex.h
+++ b/Libraries/LibClaims/ClaimIndex.h
@@ -11,43 +11,43 @@
 
 namespace Claims {
 
-/// What the log's order made of a claim or a close.
+/// The result of applying a claim or close record in log order.
 enum class VerdictKind {
-    /// The attempt holds the key, for good.
+    /// The attempt holds the key permanently, unless it is voided.
     Won,
     /// Another attempt holds the key.
     Lost,
-    /// The key was taken with another request or another issue time.
+    /// The key is in use with a different request or issue time.
     Conflict,
-    /// The key is sealed: it never ran and never will.
+    /// The key is closed: it has not run and never will.
     KeyClosed,
-    /// Another attempt of the key ran to its end.
+    /// An attempt of the key ran to completion.
     KeyFinished,
-    /// The attempt was voided, or lost with an earlier copy of the same claim.
+    /// The attempt was voided, or an earlier copy of the same claim lost.
     AttemptEnded,
-    /// The record reached the log after the key's window.
+    /// The record reached the log after the key's window had ended.
     Expired,
-    /// The issue time lies ahead of the log's clock by more than the skew.
+    /// The issue time is ahead of the log's clock by more than the allowed skew.
     InFuture,
-    /// Records are missing that may have decided the key.
+    /// Records are missing that may have affected the key.
     Uncertain,
 };
 
-/// Who holds or held a key.
+/// The attempt that holds or held a key, and the instance it belongs to.
 struct Holding
 {
     AttemptId attempt;
     Holder holder;
 };
 
-/// The decision on one record, with the holder where there is one.
+/// The result of applying one record, with the key's holder if there is one.
 struct Verdict
 {
     VerdictKind kind = VerdictKind::AttemptEnded;
     std::optional<Holding> holding;
 };
 
-/// What the log has made of one key so far.
+/// The state of a key after the records applied so far.
 enum class KeyState : std::uint8_t {
     Free,
     Held,
@@ -55,20 +55,21 @@
     Finished,
 };
 
-/// One key as the log, read so far, shows it.
+/// A snapshot of one key's state after the records applied so far.
 struct KeyView
 {
     KeyState state = KeyState::Free;
-    /// Records are missing that may have said otherwise. A finished key is certain all the same.
+    /// False if records are missing that may have affected the key. A finished key is always
+    /// certain.
     bool certain = true;
     IssueTime issuedAt;
     std::uint64_t digest = 0;
     std::optional<Holding> holding;
 };
 
-/// The pure fold of one stream's records in offset order: a decision depends on nothing but the
-/// records before it and the log's own times, so that any two readers decide alike. Expiry too
-/// follows the log's time. Not safe from several threads.
+/// State machine over one stream's records in offset order. Each verdict depends only on the
+/// preceding records and the log's timestamps, so all readers reach the same verdicts. Expiry also
+/// follows the log's timestamps. Not thread-safe.
 class ClaimIndex
 {
 public:
@@ -76,21 +77,21 @@
         : m_window(window)
     { }
 
-    /// Takes the next record; logTime is when the log took it.
+    /// Applies the next record. logTime is when the log accepted it.
     Verdict apply(const ClaimRecord &record, std::chrono::system_clock::time_point logTime);
 
-    /// What is known of a key; empty when the log shows nothing of it.
+    /// Returns the state of a key, or nullopt if it has no entry or the entry has expired.
     std::optional<KeyView> find(const ClaimKey &key) const;
 
-    /// Forgets everything after records up to the given time were lost: keys whose claims could
-    /// have been among them are uncertain from now on.
+    /// Removes all entries after records up to the given time were lost. Keys whose claims may have
+    /// been among the lost records are uncertain afterwards.
     void clearAfterLoss(std::chrono::system_clock::time_point lostUntil);
 
-    /// Whether lost records may have decided a key issued then.
+    /// Whether no lost record can have affected a key issued at the given time.
     bool isCertain(IssueTime issuedAt) const;
 
     std::size_t keyCount() const { return m_entries.size(); }
-    /// Heap bytes, worked out from the tables' capacities.
+    /// Returns the heap size in bytes, computed from the capacities of the tables.
     std::size_t memoryBytes() const;
 
 private:
@@ -119,7 +120,7 @@
     std::chrono::system_clock::time_point m_nextSweep {};
     std::optional<std::chrono::system_clock::time_point> m_certainAfter;
     boost::unordered_flat_map<KeyId, Entry, std::hash<KeyId>> m_entries;
-    /// Attempts that lost or were voided, with their keys' issue times.
+    /// Attempts that lost or were voided, with the issue times of their keys.
     boost::unordered_flat_map<AttemptId, IssueTime, std::hash<AttemptId>> m_endedAttempts;
     std::vector<Holder> m_holders;
 };
--- a/Libraries/LibClaims/ClaimKey.cpp
+++ b/Libraries/LibClaims/ClaimKey.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint64_t HighSeed = 1;
 constexpr std::uint64_t LowSeed = 2;
-// The year 9999, so that arithmetic on issue times cannot overflow.
+// The end of the year 9999. The limit keeps arithmetic on issue times from overflowing.
 constexpr std::int64_t MaxIssueTimeMs = 253'402'300'799'000;
 
 bool isKeyByte(char byte)
--- a/Libraries/LibClaims/ClaimKey.h
+++ b/Libraries/LibClaims/ClaimKey.h
@@ -12,11 +12,11 @@
 
 namespace Claims {
 
-/// Milliseconds since the epoch at which a caller first issued a key.
+/// When a caller first issued a key, in milliseconds since the epoch.
 using IssueTime = std::chrono::sys_time<std::chrono::milliseconds>;
 
-/// A 128-bit digest of team and key. Two keys that collide are taken for one: the later call is
-/// refused, never run twice.
+/// A 128-bit digest of team and key. Colliding keys are treated as the same key: the later call is
+/// refused, and no call runs twice.
 struct KeyId
 {
     std::uint64_t high = 0;
@@ -24,8 +24,8 @@
     friend bool operator==(const KeyId &, const KeyId &) = default;
 };
 
-/// What a caller names a non-repeatable call by. Team and text identify the key; a second issue
-/// time for the same key is a conflict.
+/// The idempotency key of a non-repeatable call. Team and text identify the key; using the same key
+/// with a different issue time is a conflict.
 struct ClaimKey
 {
     Core::TeamId team;
@@ -36,13 +36,13 @@
     friend bool operator==(const ClaimKey &, const ClaimKey &) = default;
 };
 
-/// How long a key is acceptable, and how far the clocks of callers, instances and the log may
-/// differ. Safe from any thread.
+/// How long a key is accepted after its issue time, and how far the clocks of callers, instances
+/// and the log may differ. Thread-safe.
 class KeyWindow
 {
 public:
-    /// Refuses (SettingsInvalid) a window that the log's retention does not outlast by skew and
-    /// margin, because a claim could then be forgotten while its key is still acceptable.
+    /// Errors: SettingsInvalid if the log's retention is shorter than window, skew and margin
+    /// together, because a claim could then be deleted while its key is still accepted.
     static Core::Result<KeyWindow> create(std::chrono::milliseconds window,
                                           std::chrono::milliseconds skew,
                                           std::chrono::milliseconds retention,
@@ -50,11 +50,11 @@
 
     std::chrono::milliseconds window() const { return m_window; }
     std::chrono::milliseconds skew() const { return m_skew; }
-    /// Whether a key issued then is too old at the given time.
+    /// Whether a key with this issue time has expired at the given time.
     bool isExpired(IssueTime issuedAt, std::chrono::system_clock::time_point now) const;
-    /// Whether a key claims to be issued further ahead than clocks may differ.
+    /// Whether the issue time is ahead of the given time by more than the allowed clock skew.
     bool isInFuture(IssueTime issuedAt, std::chrono::system_clock::time_point now) const;
-    /// KeyExpired, IssueTimeInFuture, or nothing for an acceptable key.
+    /// Returns KeyExpired, IssueTimeInFuture, or nullopt for an acceptable key.
     std::optional<Core::ErrorKind> check(const ClaimKey &key,
                                          std::chrono::system_clock::time_point now) const;
 
@@ -68,11 +68,11 @@
     std::chrono::milliseconds m_skew;
 };
 
-/// The longest key text, in bytes.
+/// Maximum length of the key text in bytes.
 constexpr std::size_t MaxKeyBytes = 255;
 
-/// Reads the headers Idempotency-Key and Idempotency-Issued-At (milliseconds since the epoch).
-/// Errors: MissingIdempotencyKey, InvalidIdempotencyKey, both with the attempt not run.
+/// Parses the headers Idempotency-Key and Idempotency-Issued-At (milliseconds since the epoch).
+/// Errors: MissingIdempotencyKey, InvalidIdempotencyKey; both state that the attempt has not run.
 Core::Result<ClaimKey> parseClaimKey(const Core::TeamId &team, std::optional<std::string_view> key,
                                      std::optional<std::string_view> issuedAt);
 
--- a/Libraries/LibClaims/ClaimPartition.cpp
+++ b/Libraries/LibClaims/ClaimPartition.cpp
@@ -7,7 +7,7 @@
                              std::chrono::system_clock::time_point wallNow,
                              const RecordHook &onRecord)
 {
-    // A stream that ends before what was already read has lost its tail: its offsets start anew.
+    // A stream that ends before the offset already read has lost its tail and reuses those offsets.
     if (page.first > m_nextOffset || page.next < m_nextOffset)
         rebuild(page, wallNow);
     for (const auto &it : page.records) {
@@ -29,7 +29,7 @@
 void ClaimPartition::rebuild(const Platform::LogPage &page,
                              std::chrono::system_clock::time_point wallNow)
 {
-    // What is missing is older than the first record that is left.
+    // The missing records are older than the first remaining record.
     const auto lostUntil = page.records.empty() ? wallNow : page.records.front().time;
     m_index.clearAfterLoss(lostUntil);
     m_nextOffset = page.first;
--- a/Libraries/LibClaims/ClaimPartition.h
+++ b/Libraries/LibClaims/ClaimPartition.h
@@ -9,8 +9,8 @@
 
 namespace Claims {
 
-/// Reads one claims stream into an index: keeps the position, passes over garbage, and rebuilds
-/// conservatively when records are missing. Does no input or output. Not safe from several threads.
+/// Applies one claims stream to an index. Tracks the read offset, skips malformed appends, and
+/// resets the index when records are missing. Does no input or output. Not thread-safe.
 class ClaimPartition
 {
 public:
@@ -20,20 +20,21 @@
         : m_index(window)
     { }
 
-    /// Takes a page that was read from nextOffset() on. The hook is called for each record with the
-    /// decision on it. wallNow bounds the time of lost records when the page has none to tell.
+    /// Applies a page that was read starting at nextOffset(). Calls the hook for each record with
+    /// its verdict. If records were lost and the page is empty, wallNow is the latest time at which
+    /// the lost records can have been written.
     void consume(const Platform::LogPage &page, std::chrono::system_clock::time_point wallNow,
                  const RecordHook &onRecord);
 
-    /// The offset to read from.
+    /// The offset at which the next read must start.
     Platform::LogOffset nextOffset() const { return m_nextOffset; }
-    /// Whether the stream was once read to its end, as a new instance must before it knows the
-    /// stream's keys.
+    /// Whether the stream has been read to its end at least once since the start or the last
+    /// rebuild. Before that, the index does not contain all keys of the stream.
     bool isCaughtUp() const { return m_caughtUp; }
     const ClaimIndex &index() const { return m_index; }
-    /// Appends that did not decode.
+    /// The number of appends that could not be decoded.
     std::uint64_t malformedCount() const { return m_malformed; }
-    /// How often records were missing.
+    /// The number of times that records were missing.
     std::uint64_t rebuildCount() const { return m_rebuilds; }
 
 private:
--- a/Libraries/LibClaims/ClaimRecord.h
+++ b/Libraries/LibClaims/ClaimRecord.h
@@ -7,8 +7,9 @@
 
 namespace Claims {
 
-/// Names one attempt. The origin is drawn at random once in a process's life, so that no later life
-/// takes an earlier one's claims for its own; the sequence counts within it.
+/// Identifies one attempt. The origin is a random number chosen once per process, so that a
+/// restarted instance does not mistake an earlier process's claims for its own. The sequence number
+/// counts the attempts of the process.
 struct AttemptId
 {
     std::uint64_t origin = 0;
@@ -16,7 +17,7 @@
     friend bool operator==(const AttemptId &, const AttemptId &) = default;
 };
 
-/// One life of one instance: a restarted instance is another holder.
+/// One incarnation of an instance. A restarted instance is a different holder.
 struct Holder
 {
     Core::InstanceId instance;
@@ -24,15 +25,15 @@
     friend bool operator==(const Holder &, const Holder &) = default;
 };
 
-/// What a record says. The values are written to the log and never change.
+/// The kind of a record. The values are stored in the log and must not change.
 enum class RecordKind : std::uint8_t {
-    /// The attempt wants to run the key. The first live claim wins.
+    /// The attempt requests to run the key. The first valid claim wins.
     Claim = 1,
-    /// The attempt was never sent and never will be; a later claim may take the key.
+    /// The attempt was not sent and never will be; a later claim may win the key.
     Void = 2,
-    /// The key has not run and never will. Takes effect when nobody else holds the key.
+    /// The key has not run and never will. Takes effect only if no other attempt holds the key.
     Close = 3,
-    /// The attempt ran to its end.
+    /// The attempt ran to completion.
     Finished = 4,
 };
 
@@ -41,7 +42,7 @@
 {
     RecordKind kind = RecordKind::Claim;
     ClaimKey key;
-    /// A digest of the request, so that a key reused with another body is seen.
+    /// A digest of the request, to detect a key that is reused with a different body.
     std::uint64_t digest = 0;
     AttemptId attempt;
     Holder holder;
--- a/Libraries/LibClaims/ClaimSettings.h
+++ b/Libraries/LibClaims/ClaimSettings.h
@@ -8,45 +8,47 @@
 
 namespace Claims {
 
-/// How claims are batched into appends.
+/// Settings for batching claim records into appends.
 struct BatchSettings
 {
-    /// A batch closes when its first record has waited this long.
+    /// A batch is appended when one of its records has waited this long.
     std::chrono::milliseconds maxAge {2};
-    /// Finished records alone close a batch only after this long, and otherwise travel with the
-    /// next claims: nobody waits for them, and a crash in between leaves the key unknown.
+    /// Finished records are appended with the next claims, or on their own after this long. No
+    /// caller waits for them; if the instance crashes first, the key's status remains unknown.
     std::chrono::milliseconds maxFinishedAge {250};
-    /// A batch closes at this many records.
+    /// A batch is appended when it has this many records.
     std::size_t maxRecords = 512;
-    /// Appends of one partition that may be under way at once. More than one keeps an append whose
-    /// answer hangs from holding up the claims behind it.
+    /// Maximum number of concurrent appends per partition. With more than one, an append whose
+    /// acknowledgement is delayed does not block the claims queued after it.
     std::size_t maxInFlight = 2;
-    /// This instance's share of the appends a second that the log takes from the whole fleet.
+    /// This instance's share of the append rate, per second, that the log allows for the whole
+    /// fleet.
     double appendsPerSecond = 40;
-    /// Appends that may go at once after a quiet time.
+    /// Maximum number of appends in a burst after an idle period.
     double appendBurst = 20;
-    /// The first and the longest wait before a failed append is tried again.
+    /// Minimum and maximum delay before a failed append is retried. The delay doubles each time.
     std::chrono::milliseconds minRetryDelay {50};
     std::chrono::milliseconds maxRetryDelay {2000};
 };
 
-/// Everything the claims of one instance are set by.
+/// Settings for the claims of one instance.
 struct ClaimSettings
 {
     KeyWindow window;
-    /// Streams that keys are hashed to. The same on every instance of an environment. More
-    /// partitions divide the index and the reading; fewer make larger batches and shorter waits.
+    /// Number of streams over which keys are hashed. Must be the same on all instances of an
+    /// environment. More partitions split the index and the reads further; fewer give larger
+    /// batches and shorter waits.
     std::size_t partitions = 4;
     BatchSettings batch;
-    /// How long a call waits for the log to decide its claim before it is refused.
+    /// How long a call waits for the log's verdict on its claim before it is refused.
     std::chrono::milliseconds claimTimeout {2000};
     /// How long a call waits for the holder of its key.
     std::chrono::milliseconds holderTimeout {5000};
-    /// How often a call asks the holder of its key.
+    /// Interval between queries of a call to the holder of its key.
     std::chrono::milliseconds askInterval {100};
-    /// Memory for stored answers.
+    /// Maximum size of all stored answers in bytes.
     std::size_t answerBytes = 16U << 20;
-    /// Part of the streams' names, so that trial and production never share a key.
+    /// Part of the stream names, so that test and production environments never share a key.
     std::string environment;
 };
 
--- a/Libraries/LibClaims/ClaimWriter.cpp
+++ b/Libraries/LibClaims/ClaimWriter.cpp
@@ -43,7 +43,7 @@
         return it.record.kind == kind && it.record.attempt == attempt;
     };
     auto &it = m_partitions[partition];
-    // Only the answer was lost: the log takes appends, and there is no reason to wait longer.
+    // Only the acknowledgement was lost. The log accepts appends, so the retry delay is reset.
     if (std::erase_if(it.queue, isSame) > 0) {
         it.retryDelay = std::chrono::milliseconds(0);
         it.retryAt = {};
@@ -58,7 +58,7 @@
 {
     refillTokens(now);
     std::vector<AppendBatch> batches;
-    // Starts at another partition each time, so that a short rate serves all of them in turn.
+    // Continues after the last partition served, so that a low rate serves all partitions in turn.
     for (std::size_t n = 0; n < m_partitions.size() && m_appendTokens >= 1; ++n) {
         const auto partition = (m_firstToPoll + n) % m_partitions.size();
         const auto due = dueAt(m_partitions[partition]);
--- a/Libraries/LibClaims/ClaimWriter.h
+++ b/Libraries/LibClaims/ClaimWriter.h
@@ -14,7 +14,7 @@
 
 namespace Claims {
 
-/// One append that is to be made.
+/// One append to be sent to the log.
 struct AppendBatch
 {
     std::uint64_t id = 0;
@@ -22,26 +22,27 @@
     std::string data;
 };
 
-/// Group commit: gathers records into few appends within a rate, and repeats an append until its
-/// answer came or its records were read back. Repeating is safe because the index takes copies of
-/// an attempt for one. Does no input or output. Not safe from several threads.
+/// Group commit: batches records into appends under a rate limit, and repeats an append until it is
+/// acknowledged or its records are read back from the log. Repeating is safe because the index
+/// treats copies of a record as the same record. Does no input or output. Not thread-safe.
 class ClaimWriter
 {
 public:
     ClaimWriter(const BatchSettings &settings, std::size_t partitions, ClaimCounters &counters);
 
     void enqueue(std::size_t partition, ClaimRecord record, Core::Clock::Monotonic now);
-    /// Takes back a claim. True when it has never left this process, so that it needs no void.
+    /// Removes a claim from the queue. Returns true if it was never submitted, in which case it
+    /// needs no void.
     bool cancelClaim(std::size_t partition, const AttemptId &attempt);
-    /// Notes that a record was read back from the log and need not be appended again.
+    /// Records that a record was read back from the log and need not be appended again.
     void noteRead(std::size_t partition, RecordKind kind, const AttemptId &attempt);
-    /// The appends that are due. Each must be answered by onResult().
+    /// Returns the appends that are due. Call onResult() for each.
     std::vector<AppendBatch> poll(Core::Clock::Monotonic now);
-    /// An append succeeded, or no answer came and it may have taken effect.
+    /// Handles the result of an append. A failed append may still have taken effect.
     void onResult(std::uint64_t batchId, bool succeeded, Core::Clock::Monotonic now);
-    /// When poll() has something to do next, if nothing else happens.
+    /// Returns when poll() is due next if no other event occurs first.
     std::optional<Core::Clock::Monotonic> nextDeadline(Core::Clock::Monotonic now) const;
-    /// Records not yet known to be in the log.
+    /// Returns the number of records that are not yet known to be in the log.
     std::size_t pendingCount() const;
 
 private:
--- a/Libraries/LibClaims/ClaimWriterSelection.h
+++ b/Libraries/LibClaims/ClaimWriterSelection.h
@@ -8,9 +8,9 @@
 
 namespace Claims {
 
-/// The instances that append the claims of one partition: those that rank highest by rendezvous
-/// hashing over the live set. Any choice is safe, because the log decides; instances that see
-/// another live set only spread the appends over a few writers more. Count bounds the result.
+/// Selects the instances that append the claims of one partition: the `count` highest-ranked live
+/// instances by rendezvous hashing. Any selection is safe, because the log decides the order of
+/// claims; instances that see a different live set only spread the appends over a few more writers.
 std::vector<Core::InstanceId> selectClaimWriters(std::size_t partition,
                                                  std::span<const Core::InstanceId> live,
                                                  std::size_t count);
--- a/Libraries/LibClaims/Outcome.h
+++ b/Libraries/LibClaims/Outcome.h
@@ -10,7 +10,7 @@
 
 namespace Claims {
 
-/// An upstream's whole answer to a non-repeatable call, as it is replayed to later attempts.
+/// An upstream's complete answer to a non-repeatable call, replayed to later attempts.
 struct StoredAnswer
 {
     unsigned httpStatus = 0;
@@ -20,30 +20,30 @@
 
 using AnswerPointer = std::shared_ptr<const StoredAnswer>;
 
-/// What sending the request came to.
+/// The result of sending a request.
 enum class SendState {
-    /// Every connect was refused before the first byte could leave the process.
+    /// Every connection attempt failed before any byte of the request was sent.
     NotSent,
     Answered,
-    /// The request was sent and its outcome is lost.
+    /// The request was sent, and its outcome is unknown.
     OutcomeLost,
 };
 
 struct SendResult
 {
     SendState state = SendState::OutcomeLost;
-    /// Set when answered.
+    /// Set if the state is Answered.
     AnswerPointer answer;
-    /// What the caller is told otherwise.
+    /// The error reported to the caller in the other states.
     Core::ErrorKind error = Core::ErrorKind::UpstreamFailed;
 };
 
-/// How a call ended: the answer, or the refusal, with two facts: what became of this attempt, and
-/// what is known of the key over all instances.
+/// The result of a call: an answer or a refusal, with the execution status of this attempt and the
+/// execution status of the key across all instances.
 struct Outcome
 {
     AnswerPointer answer;
-    /// Whether the answer is that of an earlier attempt.
+    /// Whether the answer comes from an earlier attempt.
     bool replayed = false;
     std::optional<Core::ErrorKind> error;
     Core::ExecutionStatus attempt = Core::ExecutionStatus::Unknown;
@@ -54,11 +54,11 @@
 struct Call
 {
     ClaimKey key;
-    /// A digest of the request that tells one body from another.
+    /// A digest of the request, to detect a key that is reused with a different body.
     std::uint64_t digest = 0;
 };
 
-/// Asks the holder of a key what became of its attempt.
+/// A query to the holder of a key for the state of its attempt.
 struct HolderQuery
 {
     ClaimKey key;
@@ -66,26 +66,27 @@
     Holder holder;
 };
 
-/// What the holder knows of its attempt. The values cross the peer link and never change.
+/// State of an attempt as reported by its holder. The values are part of the peer protocol and must
+/// not change.
 enum class HolderState : std::uint8_t {
-    /// The log has not yet shown the holder that it won.
+    /// The holder has not yet read from the log that its claim won.
     Deciding = 0,
     Running = 1,
     Finished = 2,
-    /// Sent, and the outcome is lost.
+    /// The request was sent, and its outcome is unknown.
     OutcomeLost = 3,
-    /// Never sent and never will be.
+    /// The request was not sent and never will be.
     GivenUp = 4,
-    /// That life of the instance is over, or it knows nothing of the attempt any more.
+    /// The holder's incarnation has ended, or the attempt is no longer stored.
     Gone = 5,
-    /// No answer came. It may yet come.
+    /// The holder did not reply; a later query may succeed.
     Unreachable = 6,
 };
 
 struct HolderReply
 {
     HolderState state = HolderState::Unreachable;
-    /// Set when finished and still kept.
+    /// Set if the state is Finished and the answer is still stored.
     AnswerPointer answer;
 };
 
--- a/Tests/LibAccounting/TestUsageLedger.cpp
+++ b/Tests/LibAccounting/TestUsageLedger.cpp
@@ -21,7 +21,8 @@
     return {{Core::TeamId("t0"), 333'333}, {Core::TeamId("t1"), 333'333}};
 }
 
-/// One instance with its meter and outbox, which works at random and keeps count on its own.
+/// One instance with a meter and an outbox. It starts and finishes requests at random and tracks
+/// the running ones independently.
 struct Instance
 {
     Instance(const Core::Clock &clock, int n)
@@ -51,7 +52,7 @@
     std::array<int, 3> running {};
 };
 
-/// A log whose answers are lost at times, and that is out at times.
+/// A log with simulated outages and lost acknowledgements.
 struct FaultyLog
 {
     void append(UsageOutbox &outbox, bool isUnavailable, bool isLast)
@@ -61,7 +62,7 @@
                 return;
             records.push_back(*batch);
             if (!isLast && rng() % 3 == 0)
-                return; // Taken, but the answer is lost: the outbox sends the batch again.
+                return; // Stored, but the acknowledgement is lost: the outbox sends it again.
             outbox.noteAppended();
             if (isLast && outbox.pending() == 0)
                 return;
@@ -96,7 +97,7 @@
             for (auto &it : instances) {
                 it->outbox.add(it->meter.closeInterval(1));
                 log.append(it->outbox, isUnavailable, false);
-                // One batch unanswered and one record waiting, however long the outage.
+                // At most one unacknowledged and one unsent record, however long the outage.
                 CHECK(it->outbox.pending() <= 2);
             }
         }
@@ -167,7 +168,7 @@
     for (int n = 0; n < 2000; ++n) {
         auto bytes = good;
         bytes[rng() % bytes.size()] = static_cast<char>(rng());
-        // Either refused or read without a fault; the sanitizers watch.
+        // Must be rejected or decoded without a fault; sanitizer builds detect invalid accesses.
         (void)decodeUsageBatch(bytes);
     }
     CHECK(ledger.report({}, Core::Clock::Wall(1h)).groups.empty());
--- a/Tests/LibClaims/ClaimHistory.cpp
+++ b/Tests/LibClaims/ClaimHistory.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t PartitionCount = 2;
 constexpr auto ActivePeriod = 40s;
 constexpr auto Lease = 3s;
-// Past the planned time, the window and the log's retention.
+// Later than the active period, the key window and the log's retention.
 constexpr std::chrono::milliseconds LongFreezeEnd = 170s;
 
 ClaimSettings historySettings()
@@ -77,7 +77,8 @@
     m_events.push({now() + delay, m_order++, std::move(task)});
 }
 
-// Runs a task on a life of an instance: never after its end, and only when it is not frozen.
+// Runs a task on the current process of an instance. The task is delayed while the instance is
+// frozen, and dropped if that process has crashed.
 void ClaimHistory::runOnInstance(std::size_t n, Time delay, Task task)
 {
     const auto processEpoch = m_instances[n].processEpoch;
@@ -144,7 +145,7 @@
         Claims::Call request {{Core::TeamId("t"), "k" + std::to_string(key), {}}, 1};
         request.key.issuedAt = std::chrono::time_point_cast<std::chrono::milliseconds>(m_epoch)
                                + issued - randomTime(0, 200);
-        // One key in eight is near the end of its window, so that it expires between attempts.
+        // One key in eight is issued long before, so that it may expire between attempts.
         if (m_rng() % 8 == 0)
             request.key.issuedAt -= randomTime(40'000, 60'000);
         const auto attempts = 1 + m_rng() % 4;
@@ -172,7 +173,8 @@
         }
     }
     if (chance(15)) {
-        // Sleeps past window and retention, and then meets its old claims and a new key.
+        // One instance freezes for longer than window and retention. Afterwards it processes its
+        // old claims and a call with a new key.
         m_hasLongFreeze = true;
         runAfter(randomTime(0, 30'000), [this] { m_instances[1].frozenUntil = LongFreezeEnd; });
         Claims::Call late {{Core::TeamId("t"), "late", {}}, 1};
@@ -182,7 +184,7 @@
         scheduleCall(LongFreezeEnd + randomTime(2000, 4000), 1, late, false);
     }
     if (chance(40)) {
-        // The last instance is a data centre of its own.
+        // The last instance is alone in its data centre.
         auto &isolated = m_instances.back();
         const auto from = randomTime(0, 30'000);
         runAfter(from, [&isolated] { isolated.isDisconnected = true; });
@@ -262,7 +264,7 @@
     if (roll < 5)
         return reply(false, randomTime(50, 500));
     if (roll < 15) {
-        // Takes effect late, at times long after the instance gave up.
+        // Takes effect late, possibly long after the claim timed out.
         runAfter(randomTime(1, 8000), takeEffect);
         return reply(false, randomTime(50, 500));
     }
@@ -346,7 +348,7 @@
         runAfter(randomTime(1, 30), runs);
         return result(randomTime(31, 800), {SendState::Answered, body});
     }
-    // The upstream crashes, runs with its answer lost, or runs and answers after the timeout.
+    // The upstream crashes before running, runs and loses the answer, or answers after the timeout.
     if (roll < 32)
         runAfter(randomTime(1, 4000), runs);
     result(randomTime(100, 1500), {SendState::OutcomeLost, nullptr});
--- a/Tests/LibClaims/ClaimHistory.h
+++ b/Tests/LibClaims/ClaimHistory.h
@@ -10,34 +10,34 @@
 #include <random>
 #include <string>
 
-/// Switches one mechanism off, to show that its failure is then found.
+/// Disables or breaks one mechanism, to verify that the checks detect its absence.
 enum class Mutation {
     None,
-    /// Readers see no claims but their own.
+    /// Readers ignore the claims of other instances.
     ReadOnlyOwnClaims,
-    /// Readers take a claim for void when it is older than a lease.
+    /// Readers treat a claim as void once it is older than a lease.
     LeaseTakeover,
-    /// A send whose outcome is lost is tried again.
+    /// A send whose outcome was lost is retried.
     ResendAfterLoss,
-    /// A claimant that learns nothing from the log sends all the same.
+    /// A claimant that receives no verdict from the log sends anyway.
     SendWithoutVerdict,
-    /// A claim that lands after its caller was refused is carried out.
+    /// A claim that reaches the log after its caller was refused is still sent.
     SendLateClaim,
-    /// Voids are not read.
+    /// Readers ignore void records.
     IgnoreVoids,
     /// Readers do not notice missing records.
     HideGaps,
-    /// A refusal at the door says that the key has not run.
+    /// An early rejection states that the key has not run.
     EarlyRejectionPromises,
-    /// A refusal of an expired key says that the key has not run.
+    /// A refusal of an expired key states that the key has not run.
     ExpiryPromises,
-    /// A restarted instance names its attempts by its incarnation alone.
+    /// A restarted instance derives its attempt ids from its incarnation number only.
     ReuseOrigin,
-    /// A key's request is not compared.
+    /// The digest of a key's request is not compared.
     IgnoreDigest,
 };
 
-/// What may fail in a history. The seed chooses.
+/// The kinds of faults in a history, selected by the seed.
 enum class HistoryKind {
     EarlyLoss,
     FaultFree,
@@ -47,10 +47,10 @@
 
 HistoryKind historyKind(std::uint64_t seed);
 
-/// What one history came to.
+/// The result of one history.
 struct HistoryReport
 {
-    /// Every breach of a promise, in words; empty when all held.
+    /// Descriptions of all violated guarantees.
     std::vector<std::string> violations;
     std::size_t answers = 0;
     std::size_t unknownKeys = 0;
@@ -62,10 +62,11 @@
     std::map<std::string, std::size_t> unknownByKind;
 };
 
-/// One seeded history of three instances in two data centres before one log and one plain service,
-/// on a manual clock: calls, resends, refusals at the door, crashes at every step, freezes longer
-/// than every timeout, appends whose answers are lost or that take effect late, outages, cut data
-/// centres, retention. The service counts its runs, and every answer is checked at the end.
+/// A seeded simulation of three instances in two data centres that share one log and one
+/// non-repeatable service, on a manual clock. It includes calls, resends, early rejections, crashes
+/// at every step, freezes longer than every timeout, appends whose acknowledgements are lost or
+/// that take effect late, log outages, disconnected data centres, and retention. The service counts
+/// its runs, and every answer is checked at the end.
 class ClaimHistory
 {
 public:
@@ -88,6 +89,7 @@
     };
     struct Instance
     {
+        /// Number of times this instance has been started.
         std::uint64_t processEpoch = 0;
         std::unique_ptr<Claims::ClaimEngine> engine;
         Time frozenUntil {0};
@@ -116,7 +118,7 @@
         bool keyHadWinner = false;
     };
 
-    /// What the service answers to a request; it names key and body.
+    /// Returns the service's answer to a request. It identifies the key and the request body.
     static std::string bodyOf(const Claims::Call &request)
     {
         return request.key.text + "/" + std::to_string(request.digest);
@@ -165,11 +167,13 @@
     std::map<std::string, std::size_t> m_wins;
     std::map<std::string, std::size_t> m_sends;
     std::map<std::string, std::pair<Claims::ClaimRecord, Time>> m_lastClaims;
+    /// Interval in which the log is unavailable to all instances.
     Time m_outageStart {0};
     Time m_outageEnd {0};
+    /// Set when the fault phase has ended.
     bool m_hasRecovered = false;
     bool m_hasLongFreeze = false;
-    /// Restarted instances come up with the same incarnation number.
+    /// Restarted instances keep the same incarnation number.
     bool m_reusesIncarnations = false;
     HistoryReport m_report;
 };
--- a/Tests/LibClaims/ClaimHistoryCheck.cpp
+++ b/Tests/LibClaims/ClaimHistoryCheck.cpp
@@ -26,8 +26,9 @@
         addViolation(id, "unknown, though the log that was read tells");
 }
 
-// When all is well again (but for an instance that still sleeps), one more attempt of each key at
-// an instance that never failed must learn the truth: nothing may hold a key that was never sent.
+// After the faults have ended, one more attempt of each key is made at instance 0. In histories
+// without crashes, a key that was never sent must not still be held; only an instance in a long
+// freeze may hold one.
 void ClaimHistory::scheduleProbes()
 {
     m_hasRecovered = true;
--- a/Tests/LibClaims/TestClaimCoordinator.cpp
+++ b/Tests/LibClaims/TestClaimCoordinator.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// The embedded log with outages and lost answers on command.
+/// The embedded log with simulated outages and lost acknowledgements.
 class FaultyLog final : public Platform::LogService
 {
 public:
@@ -49,7 +49,7 @@
     Platform::EmbeddedLogService m_service {m_log};
 };
 
-/// Two coordinators before one log and one plain service that counts its runs.
+/// Two coordinators that share one log and one service, which counts its runs.
 struct CoordinatorFixture
 {
     explicit CoordinatorFixture(std::chrono::milliseconds claimTimeout = 60s)
--- a/Tests/LibClaims/TestClaimEngine.cpp
+++ b/Tests/LibClaims/TestClaimEngine.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// One engine before a log of one partition that the test writes by hand.
+/// One engine with a single-partition log whose pages are supplied by the test.
 struct EngineFixture
 {
     EngineFixture() { Core::configureEventLog(Core::LogFormat::Text, Core::EventLevel::Error); }
@@ -101,7 +101,7 @@
     const auto voided = EngineFixture::find<AppendBatch>(fixture.engine.onTimer());
     REQUIRE(voided);
     CHECK(decodeBatch(voided->data).value().front().kind == RecordKind::Void);
-    // The void is repeated until it is read back, and then the key is free.
+    // The void is repeated until it is read back from the log. The key is then free.
     fixture.engine.onAppendResult(voided->id, false);
     CHECK(fixture.engine.pendingRecords() == 1);
     fixture.read(voided->data);
@@ -116,7 +116,7 @@
     fixture.clock.advance(2ms);
     const auto claim = EngineFixture::find<AppendBatch>(fixture.engine.onTimer());
     REQUIRE(claim);
-    // The page comes before any timer, as after a long stop of the process.
+    // The page is processed before any timer, as after a long suspension of the process.
     fixture.clock.advance(10s);
     const auto actions = fixture.read(claim->data);
     CHECK_FALSE(EngineFixture::find<SendAction>(actions));
--- a/Tests/LibClaims/TestClaimHistories.cpp
+++ b/Tests/LibClaims/TestClaimHistories.cpp
@@ -8,7 +8,8 @@
 constexpr std::uint64_t HistoryCount = 4000;
 constexpr std::uint64_t MutatedHistoryCount = 800;
 
-/// How often a promise broke in the given words, over some seeds, with one mechanism switched off.
+/// Counts the violations whose description contains the given words, over all mutated histories,
+/// with one mechanism disabled.
 std::size_t violationsWith(Mutation mutation, const std::string &words)
 {
     Core::configureEventLog(Core::LogFormat::Text, Core::EventLevel::Error);
@@ -60,13 +61,13 @@
     print("faults without crashes", totals[HistoryKind::FaultsWithoutCrashes]);
     print("faults", totals[HistoryKind::Faults]);
     print("faults and early loss of records", totals[HistoryKind::EarlyLoss]);
-    // The histories have to cause what they are meant for.
+    // The histories must have produced the events that they are meant to test.
     CHECK(totals[HistoryKind::Faults].crashes > HistoryCount / 4);
     CHECK(totals[HistoryKind::Faults].rebuilds > HistoryCount / 100);
     CHECK(totals[HistoryKind::EarlyLoss].rebuilds > HistoryCount / 8);
     CHECK(totals[HistoryKind::FaultsWithoutCrashes].voids > HistoryCount / 16);
     CHECK(totals[HistoryKind::FaultFree].replays > HistoryCount / 4);
-    // With nothing failing, only what was refused at the door or is past its window is unknown.
+    // Without faults, only the status of early rejected calls and expired keys is unknown.
     for (const auto &[kind, n] : totals[HistoryKind::FaultFree].unknownByKind)
         CHECK((kind == "overloaded" || kind == "key_expired"));
 }
--- a/Tests/LibClaims/TestClaimIndex.cpp
+++ b/Tests/LibClaims/TestClaimIndex.cpp
@@ -35,8 +35,8 @@
     friend bool operator==(const Decision &, const Decision &) = default;
 };
 
-/// A random stream: claims with copies, voids before and after their claims, closes, finished
-/// records, garbage, and issue times on both sides of the window.
+/// Generates a random stream: claims and copies of them, voids before and after their claims,
+/// closes, finished records, malformed appends, and issue times inside and outside the window.
 std::vector<Platform::LogRecord> randomStream(std::mt19937_64 &rng, std::size_t count)
 {
     std::vector<Platform::LogRecord> stream;
@@ -90,7 +90,7 @@
     CHECK(index.apply(record(RecordKind::Claim, 1), Epoch).kind == VerdictKind::Won);
     CHECK(index.apply(record(RecordKind::Claim, 3, 0, 8), Epoch).kind == VerdictKind::Conflict);
     index.apply(record(RecordKind::Void, 1), Epoch);
-    // The claim that lost has answered its caller and must not come back to life.
+    // The attempt that lost has already answered its caller, so a copy of its claim must not win.
     CHECK(index.apply(record(RecordKind::Claim, 2), Epoch).kind == VerdictKind::AttemptEnded);
     CHECK(index.apply(record(RecordKind::Claim, 4), Epoch).kind == VerdictKind::Won);
 }
@@ -132,7 +132,7 @@
         it.key.issuedAt = Epoch + n * 1s;
         index.apply(it, it.key.issuedAt);
     }
-    // Sixty live keys and what one sweep interval adds.
+    // Sixty unexpired keys plus those that expire within one sweep interval.
     CHECK(index.keyCount() <= 66);
 }
 
@@ -161,12 +161,12 @@
         const auto stream = randomStream(rng, 150);
         const auto all = readAll(stream, 0, stream.size(), rng);
         CHECK(all == readAll(stream, 0, stream.size(), rng));
-        // Prefix-closed: what comes later changes no decision.
+        // Later records do not change earlier verdicts.
         const auto until = rng() % stream.size();
         const auto prefix = readAll(stream, 0, until, rng);
         REQUIRE(prefix.size() <= all.size());
         CHECK(std::equal(prefix.begin(), prefix.end(), all.begin()));
-        // A reader that starts late decides alike on every key that it does not call uncertain.
+        // A reader that starts late reaches the same verdict for every key it considers certain.
         const auto from = rng() % stream.size();
         for (const auto &it : readAll(stream, from, stream.size(), rng, true))
             CHECK(std::find(all.begin(), all.end(), it) != all.end());
@@ -179,7 +179,7 @@
     const std::vector records {record(RecordKind::Claim, 1), record(RecordKind::Void, 2, 5)};
     const auto bytes = encodeBatch(records);
     CHECK(decodeBatch(bytes) == records);
-    // Only padding may be missing at the end.
+    // A cut that removes only padding may still decode.
     for (std::size_t n = 0; n < bytes.size(); ++n) {
         const auto cut = decodeBatch(std::string_view(bytes).substr(0, n));
         CHECK((!cut || (cut == records && n + 4 > bytes.size())));
--- a/Tests/LibClaims/TestClaimMeasures.cpp
+++ b/Tests/LibClaims/TestClaimMeasures.cpp
@@ -10,7 +10,8 @@
 using namespace Claims;
 using namespace std::chrono_literals;
 
-// The figures of docs/design/at-most-once.md. Hidden from the plain run: TestLibClaims "[measure]".
+// Measures the figures in docs/design/at-most-once.md. Hidden from the default run; run them with
+// TestLibClaims "[measure]".
 
 namespace {
 
@@ -23,7 +24,8 @@
     return {kind, key, n, {n % 8, n}, {Core::InstanceId("instance-" + std::to_string(n % 8)), 1}};
 }
 
-/// Twenty seconds of claims at one rate, at one instance with the default batch settings.
+/// Simulates 20 seconds of claims at a constant rate on one instance with the default batch
+/// settings.
 void measureBatches(std::uint64_t rate, std::size_t partitions)
 {
     Core::ManualClock clock;
@@ -50,7 +52,7 @@
               << '\n';
 }
 
-/// The same for calls that finish 50 ms after their claim, before four partitions.
+/// Like measureBatches(), with four partitions and a finished record 50 ms after each claim.
 void measureFinished(std::uint64_t rate, std::chrono::milliseconds maxFinishedAge)
 {
     Core::ManualClock clock;
--- a/Tests/LibClaims/TestClaimWriter.cpp
+++ b/Tests/LibClaims/TestClaimWriter.cpp
@@ -23,7 +23,7 @@
     return decodeBatch(batch.data).value().size();
 }
 
-/// Appends made for claims that arrive at the given rate for ten seconds.
+/// Returns the number of appends made for claims that arrive at the given rate for ten seconds.
 std::uint64_t appendsAt(std::uint64_t claimsPerSecond)
 {
     Core::ManualClock clock;
@@ -102,7 +102,7 @@
     CHECK(writer.poll(clock.now()).empty());
     clock.advance(49ms);
     CHECK(writer.poll(clock.now()).empty());
-    // Reading one record back shows that the log takes appends, and ends the wait.
+    // Reading a record back shows that the log accepts appends, and ends the retry delay.
     writer.noteRead(0, RecordKind::Claim, {1, 1});
     batches = writer.poll(clock.now());
     REQUIRE(batches.size() == 1);
