--- a/Libraries/LibAccounting/UsageRecord.cpp
+++ b/Libraries/LibAccounting/UsageRecord.cpp
@@ -73,7 +73,8 @@
     const auto *data = reinterpret_cast<const std::uint8_t *>(bytes.data());
     flatbuffers::Verifier verifier(data, bytes.size());
     if (!Wire::VerifyUsageBatchBuffer(verifier))
-        return Core::Error(Core::ErrorKind::FrameInvalid, "not a batch of usage records");
+        return Core::Error(Core::ErrorKind::FrameInvalid,
+                           "the bytes are not a valid batch of usage records");
     const auto *wire = Wire::GetUsageBatch(data);
     UsageBatch batch {.instance = Core::InstanceId(wire->instance()->str()),
                       .incarnation = wire->incarnation(),
--- a/Libraries/LibClaims/ClaimCoordinator.cpp
+++ b/Libraries/LibClaims/ClaimCoordinator.cpp
@@ -44,7 +44,9 @@
     if (settings.partitions == 0 || settings.batch.maxRecords == 0
         || settings.batch.maxInFlight == 0 || settings.batch.appendsPerSecond <= 0
         || settings.batch.appendBurst < 1)
-        return Core::Error(Core::ErrorKind::SettingsInvalid, "claim partitions or batches");
+        return Core::Error(Core::ErrorKind::SettingsInvalid,
+                           "claim partitions, batch size, concurrent appends and append rate must "
+                           "be positive, and the append burst must be at least 1");
     return std::shared_ptr<ClaimCoordinator>(new ClaimCoordinator(
         std::move(executor), settings, std::move(self), log, clock, std::move(askHolder)));
 }
--- a/Libraries/LibClaims/ClaimKey.cpp
+++ b/Libraries/LibClaims/ClaimKey.cpp
@@ -44,10 +44,13 @@
                                           std::chrono::milliseconds margin)
 {
     if (window.count() <= 0 || skew.count() < 0 || margin.count() < 0)
-        return Core::Error(Core::ErrorKind::SettingsInvalid, "key window, skew or margin");
+        return Core::Error(
+            Core::ErrorKind::SettingsInvalid,
+            "the key window must be positive, and skew and margin must not be negative");
     if (window + skew + margin > retention)
-        return Core::Error(Core::ErrorKind::SettingsInvalid,
-                           "the key window with skew and margin outlasts the log's retention");
+        return Core::Error(
+            Core::ErrorKind::SettingsInvalid,
+            "the sum of key window, clock skew and margin exceeds the log's retention");
     return KeyWindow(window, skew);
 }
 
@@ -77,10 +80,12 @@
     if (!key || !issuedAt)
         return Core::Error(Core::ErrorKind::MissingIdempotencyKey);
     if (key->empty() || key->size() > MaxKeyBytes || !std::ranges::all_of(*key, isKeyByte))
-        return Core::Error(Core::ErrorKind::InvalidIdempotencyKey, "Idempotency-Key");
+        return Core::Error(Core::ErrorKind::InvalidIdempotencyKey,
+                           "Idempotency-Key must be 1 to 255 visible ASCII characters");
     const auto time = parseIssueTime(*issuedAt);
     if (!time)
-        return Core::Error(Core::ErrorKind::InvalidIdempotencyKey, "Idempotency-Issued-At");
+        return Core::Error(Core::ErrorKind::InvalidIdempotencyKey,
+                           "Idempotency-Issued-At must be a time in milliseconds since the epoch");
     return ClaimKey {team, std::string(*key), *time};
 }
 
--- a/Tests/LibAccounting/TestSettlement.cpp
+++ b/Tests/LibAccounting/TestSettlement.cpp
@@ -7,7 +7,7 @@
 
 using namespace Accounting;
 
-TEST_CASE("settlements add up to capacity and to use exactly")
+TEST_CASE("settlements account for capacity and use exactly")
 {
     std::mt19937_64 rng(11);
     for (int round = 0; round < 2000; ++round) {
--- a/Tests/LibAccounting/TestUsageLedger.cpp
+++ b/Tests/LibAccounting/TestUsageLedger.cpp
@@ -75,7 +75,7 @@
 
 } // namespace
 
-TEST_CASE("the account is exact over lost answers, doubled appends and outages")
+TEST_CASE("the usage report is exact despite lost acknowledgements, duplicate appends and outages")
 {
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         Core::ManualClock clock;
@@ -150,7 +150,7 @@
     CHECK(report.groups.front().capacity == 20);
 }
 
-TEST_CASE("bytes that are not a batch are refused and change nothing")
+TEST_CASE("bytes that are not a valid batch are rejected and do not change the ledger")
 {
     std::mt19937_64 rng(9);
     const auto good = encode({.instance = Core::InstanceId("i"),
--- a/Tests/LibClaims/ClaimHistoryCheck.cpp
+++ b/Tests/LibClaims/ClaimHistoryCheck.cpp
@@ -23,7 +23,8 @@
         engine.partition(engine.partitionOf(call.request.key)).index().find(call.request.key);
     if (view && view->certain
         && (view->state == KeyState::Finished || view->state == KeyState::Closed))
-        addViolation(id, "unknown, though the log that was read tells");
+        addViolation(id,
+                     "the key was reported as unknown, but the log read so far shows its status");
 }
 
 // After the faults have ended, one more attempt of each key is made at instance 0. In histories
@@ -54,22 +55,22 @@
         const auto &outcome = it.outcome;
         const auto key = call.key();
         if (outcome.attempt == Core::ExecutionStatus::NotRun && call.ran)
-            addViolation(it.call, "the attempt was said not to run and ran");
+            addViolation(it.call, "the attempt was reported as not run, but it ran");
         if (outcome.attempt == Core::ExecutionStatus::Run && !call.ran)
-            addViolation(it.call, "the attempt was said to have run and did not");
+            addViolation(it.call, "the attempt was reported as run, but it did not run");
         if (outcome.key == Core::ExecutionStatus::NotRun && m_runs[key] > 0)
-            addViolation(it.call, "the key was said not to run and ran");
+            addViolation(it.call, "the key was reported as not run, but it ran");
         if (outcome.key == Core::ExecutionStatus::Run && !it.keyHadRun)
-            addViolation(it.call, "the key was said to have run and had not");
+            addViolation(it.call, "the key was reported as run, but it had not run");
         if (outcome.key == Core::ExecutionStatus::Running && !it.keyHadWinner)
-            addViolation(it.call, "the key was said to be running and nobody had won it");
+            addViolation(it.call, "the key was reported as running, but no attempt had won it");
         if (outcome.answer && outcome.answer->body != bodyOf(call.request))
-            addViolation(it.call, "the answer is another request's");
+            addViolation(it.call, "the answer belongs to another request");
         const bool inDoubt = outcome.error == Core::ErrorKind::KeyOutcomeUnknown
                              || outcome.error == Core::ErrorKind::KeyInProgress;
         if (call.isProbe && inDoubt && m_report.crashes == 0 && !m_hasLongFreeze
             && m_kind != HistoryKind::EarlyLoss && m_sends[key] == 0)
-            addViolation(it.call, "a key that was never sent is held for good");
+            addViolation(it.call, "a key that was never sent remains held");
     }
     for (const auto &[id, call] : m_calls) {
         if (!call.answered && call.processEpoch == m_instances[call.instance].processEpoch)
--- a/Tests/LibClaims/TestClaimCoordinator.cpp
+++ b/Tests/LibClaims/TestClaimCoordinator.cpp
@@ -100,7 +100,7 @@
 
 } // namespace
 
-TEST_CASE("many calls of one key at two instances run it once and all get the answer")
+TEST_CASE("concurrent calls of one key on two instances run it once and all receive the answer")
 {
     CoordinatorFixture fixture;
     fixture.log.losesAnswers = true;
@@ -121,7 +121,7 @@
     }
 }
 
-TEST_CASE("with the log out nothing runs, and the key runs once it is back")
+TEST_CASE("nothing runs while the log is unavailable, and the key runs once after it recovers")
 {
     CoordinatorFixture fixture(300ms);
     fixture.log.isUnavailable = true;
@@ -138,7 +138,8 @@
     CHECK(fixture.runs == 1);
 }
 
-TEST_CASE("a call that no upstream took is refused for good, and a lost outcome says so")
+TEST_CASE(
+    "a call that no upstream accepted closes its key, and a lost outcome is reported as unknown")
 {
     CoordinatorFixture fixture;
     const auto refused = fixture.call(0, "k", SendState::NotSent).get();
--- a/Tests/LibClaims/TestClaimEngine.cpp
+++ b/Tests/LibClaims/TestClaimEngine.cpp
@@ -57,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("a refusal at the door says of the key only what the log shows")
+TEST_CASE("an early rejection reports only the key status that the log shows")
 {
     EngineFixture fixture;
     CHECK(fixture.engine.earlyRejection(ErrorKind::Draining, fixture.call.key).attempt()
@@ -72,7 +72,7 @@
     CHECK(closed.earlyRejectionKeyStatus() == ExecutionStatus::NotRun);
 }
 
-TEST_CASE("an expired key is refused without a word about its past")
+TEST_CASE("the refusal of an expired key reports its status as unknown")
 {
     EngineFixture fixture;
     fixture.clock.advance(61s);
@@ -83,7 +83,7 @@
     CHECK(answer->outcome.key == ExecutionStatus::Unknown);
 }
 
-TEST_CASE("a claim that lands after its caller was refused is voided and never sent")
+TEST_CASE("a claim that reaches the log after its caller was refused is voided and never sent")
 {
     EngineFixture fixture;
     fixture.engine.begin(1, fixture.call);
@@ -109,7 +109,7 @@
     CHECK(fixture.engine.partition(0).index().find(fixture.call.key)->state == KeyState::Free);
 }
 
-TEST_CASE("a claimant that wakes after its timeout does not send")
+TEST_CASE("a claimant that resumes after its timeout does not send")
 {
     EngineFixture fixture;
     fixture.engine.begin(1, fixture.call);
@@ -123,7 +123,7 @@
     CHECK(EngineFixture::find<AnswerAction>(actions)->outcome.attempt == ExecutionStatus::NotRun);
 }
 
-TEST_CASE("a winner sends once, however often its claim is read")
+TEST_CASE("a winning attempt sends once, however often its claim is read")
 {
     EngineFixture fixture;
     fixture.engine.begin(1, fixture.call);
--- a/Tests/LibClaims/TestClaimHistories.cpp
+++ b/Tests/LibClaims/TestClaimHistories.cpp
@@ -18,7 +18,7 @@
         for (const auto &it : ClaimHistory(seed, mutation).run().violations)
             n += it.find(words) == std::string::npos ? 0 : 1;
     }
-    WARN("without the mechanism: " << n << " times \"" << words << '"');
+    WARN("with the mechanism disabled: " << n << " violations with \"" << words << '"');
     return n;
 }
 
@@ -47,7 +47,7 @@
 
 } // namespace
 
-TEST_CASE("no key runs twice and no answer turns out false, over all histories")
+TEST_CASE("no key runs twice and every reported status is correct in all histories")
 {
     Core::configureEventLog(Core::LogFormat::Text, Core::EventLevel::Error);
     std::map<HistoryKind, HistoryReport> totals;
@@ -57,7 +57,7 @@
             FAIL_CHECK("seed " << seed << ": " << it);
         add(totals[historyKind(seed)], report);
     }
-    print("calm", totals[HistoryKind::FaultFree]);
+    print("no faults", totals[HistoryKind::FaultFree]);
     print("faults without crashes", totals[HistoryKind::FaultsWithoutCrashes]);
     print("faults", totals[HistoryKind::Faults]);
     print("faults and early loss of records", totals[HistoryKind::EarlyLoss]);
@@ -72,54 +72,55 @@
         CHECK((kind == "overloaded" || kind == "key_expired"));
 }
 
-TEST_CASE("without the log's order keys run twice")
+TEST_CASE("if readers ignore other instances' claims, keys run twice")
 {
     CHECK(violationsWith(Mutation::ReadOnlyOwnClaims, " times") > 0);
 }
 
-TEST_CASE("with leases instead of claims for good a frozen holder runs a key twice")
+TEST_CASE("with expiring leases instead of permanent claims, a frozen holder runs a key twice")
 {
     CHECK(violationsWith(Mutation::LeaseTakeover, " times") > 0);
 }
 
-TEST_CASE("with a second send after a lost outcome keys run twice")
+TEST_CASE("if a lost outcome is sent again, keys run twice")
 {
     CHECK(violationsWith(Mutation::ResendAfterLoss, " times") > 0);
 }
 
-TEST_CASE("with sends that wait for no verdict keys run twice and refusals are false")
+TEST_CASE("if requests are sent without a verdict, keys run twice and refusals are wrong")
 {
     CHECK(violationsWith(Mutation::SendWithoutVerdict, " times") > 0);
-    CHECK(violationsWith(Mutation::SendWithoutVerdict, "attempt was said not to run") > 0);
+    CHECK(violationsWith(Mutation::SendWithoutVerdict, "attempt was reported as not run") > 0);
 }
 
-TEST_CASE("with a late claim carried out a refusal turns out false")
+TEST_CASE("if a late claim is sent, the earlier refusal is wrong")
 {
-    CHECK(violationsWith(Mutation::SendLateClaim, "attempt was said not to run") > 0);
+    CHECK(violationsWith(Mutation::SendLateClaim, "attempt was reported as not run") > 0);
 }
 
-TEST_CASE("without voids a key that was never sent stays held")
+TEST_CASE("without voids, a key that was never sent remains held")
 {
-    CHECK(violationsWith(Mutation::IgnoreVoids, "held for good") > 0);
+    CHECK(violationsWith(Mutation::IgnoreVoids, "remains held") > 0);
 }
 
-TEST_CASE("without notice of lost records keys run twice")
+TEST_CASE("if readers do not detect lost records, keys run twice")
 {
     CHECK(violationsWith(Mutation::HideGaps, " times") > 0);
 }
 
-TEST_CASE("with promises at the door or for expired keys refusals are false")
+TEST_CASE(
+    "if early rejections or refusals of expired keys report the key as not run, they are wrong")
 {
-    CHECK(violationsWith(Mutation::EarlyRejectionPromises, "key was said not to run") > 0);
-    CHECK(violationsWith(Mutation::ExpiryPromises, "key was said not to run") > 0);
+    CHECK(violationsWith(Mutation::EarlyRejectionPromises, "key was reported as not run") > 0);
+    CHECK(violationsWith(Mutation::ExpiryPromises, "key was reported as not run") > 0);
 }
 
-TEST_CASE("without a fresh origin a restarted instance takes old claims for its own")
+TEST_CASE("without a new origin, a restarted instance treats old claims as its own")
 {
     CHECK(violationsWith(Mutation::ReuseOrigin, " times") > 0);
 }
 
-TEST_CASE("without the request's digest a caller gets another request's answer")
+TEST_CASE("without the request's digest, a caller receives the answer of another request")
 {
-    CHECK(violationsWith(Mutation::IgnoreDigest, "another request's") > 0);
+    CHECK(violationsWith(Mutation::IgnoreDigest, "belongs to another request") > 0);
 }
--- a/Tests/LibClaims/TestClaimIndex.cpp
+++ b/Tests/LibClaims/TestClaimIndex.cpp
@@ -82,7 +82,7 @@
 
 } // namespace
 
-TEST_CASE("the first live claim wins and a copy is the same claim")
+TEST_CASE("the first valid claim wins, and a copy of a claim counts as the same claim")
 {
     ClaimIndex index(testWindow());
     CHECK(index.apply(record(RecordKind::Claim, 1), Epoch).kind == VerdictKind::Won);
@@ -95,7 +95,7 @@
     CHECK(index.apply(record(RecordKind::Claim, 4), Epoch).kind == VerdictKind::Won);
 }
 
-TEST_CASE("a void that overtakes its claim still voids it")
+TEST_CASE("a void that precedes its claim in the log still voids it")
 {
     ClaimIndex index(testWindow());
     index.apply(record(RecordKind::Void, 1), Epoch);
@@ -103,7 +103,7 @@
     CHECK(index.apply(record(RecordKind::Claim, 2), Epoch).kind == VerdictKind::Won);
 }
 
-TEST_CASE("a close seals a free key and its own claim, and nobody else's")
+TEST_CASE("a close applies to a free key or its own attempt's key, not to a key of another attempt")
 {
     ClaimIndex index(testWindow());
     index.apply(record(RecordKind::Claim, 1), Epoch);
@@ -115,7 +115,7 @@
     CHECK(index.apply(record(RecordKind::Close, 6, 2), Epoch).kind == VerdictKind::KeyFinished);
 }
 
-TEST_CASE("a claim outside its key's window counts for nothing")
+TEST_CASE("a claim outside its key's window has no effect")
 {
     ClaimIndex index(testWindow());
     CHECK(index.apply(record(RecordKind::Claim, 1), Epoch - 3s).kind == VerdictKind::InFuture);
@@ -124,7 +124,7 @@
     CHECK_FALSE(index.find(record(RecordKind::Claim, 3).key));
 }
 
-TEST_CASE("no key is held longer than its window")
+TEST_CASE("the index removes expired keys within one sweep interval")
 {
     ClaimIndex index(testWindow());
     for (int n = 0; n < 1000; ++n) {
@@ -136,7 +136,7 @@
     CHECK(index.keyCount() <= 66);
 }
 
-TEST_CASE("after a gap the keys that it may have decided are uncertain")
+TEST_CASE("after a gap, keys that the missing records may have affected are uncertain")
 {
     ClaimPartition reader(testWindow());
     auto it = record(RecordKind::Claim, 1);
@@ -153,7 +153,7 @@
     CHECK(reader.rebuildCount() == 1);
 }
 
-TEST_CASE("any two readers decide alike, whatever they lost")
+TEST_CASE("any two readers reach the same verdicts, whatever records they lost")
 {
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
         INFO("seed " << seed);
@@ -173,7 +173,7 @@
     }
 }
 
-TEST_CASE("batches keep every field and damaged bytes are refused, not misread")
+TEST_CASE("batches preserve all fields, and decoding damaged bytes is safe")
 {
     std::mt19937_64 rng(3);
     const std::vector records {record(RecordKind::Claim, 1), record(RecordKind::Void, 2, 5)};
--- a/Tests/LibClaims/TestClaimKey.cpp
+++ b/Tests/LibClaims/TestClaimKey.cpp
@@ -5,14 +5,14 @@
 using namespace std::chrono_literals;
 using Claims::KeyWindow;
 
-TEST_CASE("a key window that retention does not outlast is refused")
+TEST_CASE("a key window that exceeds the log's retention is rejected")
 {
     CHECK(KeyWindow::create(50min, 2min, 60min, 8min));
     CHECK_FALSE(KeyWindow::create(50min, 2min, 60min, 9min));
     CHECK_FALSE(KeyWindow::create(0min, 2min, 60min, 8min));
 }
 
-TEST_CASE("the key headers are read strictly")
+TEST_CASE("the key headers are parsed strictly")
 {
     const Core::TeamId team("studio");
     const auto kindOf = [&](auto key, auto issuedAt) {
@@ -29,7 +29,7 @@
         CHECK(kindOf(text, "1") == Core::ErrorKind::InvalidIdempotencyKey);
 }
 
-TEST_CASE("keys of two teams and keys that run together are told apart")
+TEST_CASE("keys of different teams and keys with the same concatenation have different ids")
 {
     using Claims::ClaimKey;
     const ClaimKey key {Core::TeamId("ab"), "c", {}};
@@ -37,7 +37,7 @@
     CHECK_FALSE(key.id() == ClaimKey {Core::TeamId("b"), "c", {}}.id());
 }
 
-TEST_CASE("the window's ends follow the clock")
+TEST_CASE("a key is accepted only within its window and the clock skew")
 {
     const auto window = KeyWindow::create(10min, 5s, 1h, 1min).value();
     const Claims::IssueTime issuedAt(1'700'000'000'000ms);
--- a/Tests/LibClaims/TestClaimMeasures.cpp
+++ b/Tests/LibClaims/TestClaimMeasures.cpp
@@ -81,21 +81,21 @@
 
 } // namespace
 
-TEST_CASE("appends a claim and the wait before the append, by load", "[.measure]")
+TEST_CASE("appends per claim and wait before the append, by load", "[.measure]")
 {
     std::cout << "partitions  claims/s  appends/s  appends/claim  mean wait ms  bytes/claim\n";
     for (const std::size_t partitions : {1, 4, 16}) {
         for (const std::uint64_t rate : {5, 20, 50, 200, 1000, 5000})
             measureBatches(rate, partitions);
     }
-    std::cout << "finished age ms  claims/s  appends/claim, finished records counted\n";
+    std::cout << "finished age ms  claims/s  appends/claim including finished records\n";
     for (const auto age : {2ms, 250ms}) {
         for (const std::uint64_t rate : {5, 20, 50, 200, 1000, 5000})
             measureFinished(rate, age);
     }
 }
 
-TEST_CASE("index memory a key and time a record", "[.measure]")
+TEST_CASE("index memory per key and time per record", "[.measure]")
 {
     for (const std::uint64_t keys : {10'000, 100'000, 1'000'000}) {
         ClaimIndex index(KeyWindow::create(1h, 1min, 2h, 1min).value());
@@ -106,12 +106,12 @@
         }
         const std::chrono::duration<double, std::nano> time =
             std::chrono::steady_clock::now() - start;
-        std::cout << keys << " keys: " << index.memoryBytes() / keys << " bytes a key, "
-                  << time.count() / static_cast<double>(keys) / 2 << " ns a record\n";
+        std::cout << keys << " keys: " << index.memoryBytes() / keys << " bytes per key, "
+                  << time.count() / static_cast<double>(keys) / 2 << " ns per record\n";
     }
 }
 
-TEST_CASE("bytes a record in the log and time to decode", "[.measure]")
+TEST_CASE("bytes per record in the log and time to decode", "[.measure]")
 {
     for (const std::size_t count : {1, 16, 256}) {
         std::vector<ClaimRecord> records;
@@ -124,7 +124,7 @@
             REQUIRE(decodeBatch(bytes));
         const std::chrono::duration<double, std::nano> time =
             std::chrono::steady_clock::now() - start;
-        std::cout << count << " records: " << bytes.size() / count << " bytes a record, "
-                  << time.count() / Rounds / static_cast<double>(count) << " ns a record\n";
+        std::cout << count << " records: " << bytes.size() / count << " bytes per record, "
+                  << time.count() / Rounds / static_cast<double>(count) << " ns per record\n";
     }
 }
--- a/Tests/LibClaims/TestClaimWriter.cpp
+++ b/Tests/LibClaims/TestClaimWriter.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("a batch closes on size or age")
+TEST_CASE("a batch is appended when it reaches its maximum size or age")
 {
     Core::ManualClock clock;
     ClaimCounters counters;
@@ -60,7 +60,7 @@
     CHECK(recordsIn(batches.front()) == 1);
 }
 
-TEST_CASE("finished records travel with the next claim, or alone after a while")
+TEST_CASE("finished records are appended with the next claim, or alone after their maximum age")
 {
     Core::ManualClock clock;
     ClaimCounters counters;
@@ -80,7 +80,7 @@
     CHECK(writer.poll(clock.now()).size() == 1);
 }
 
-TEST_CASE("appends keep to their rate however many claims come")
+TEST_CASE("appends stay within the rate limit at any claim rate")
 {
     constexpr std::uint64_t RateBound = 10 * 40 + 20 + 1;
     CHECK(appendsAt(10) == 100);
@@ -111,7 +111,7 @@
     CHECK(writer.pendingCount() == 0);
 }
 
-TEST_CASE("a claim that never left needs no void, one under way is not repeated")
+TEST_CASE("a cancelled claim needs no void if it was not submitted, and is not repeated if it was")
 {
     Core::ManualClock clock;
     ClaimCounters counters;
@@ -127,7 +127,8 @@
     CHECK(writer.pendingCount() == 0);
 }
 
-TEST_CASE("writers are few, agreed on without a word, and move little when one leaves")
+TEST_CASE("writers are selected deterministically, and few partitions change writers if an "
+          "instance leaves")
 {
     std::vector<Core::InstanceId> live;
     live.reserve(340);
