--- a/Tests/LibClaims/ClaimHistory.cpp
+++ b/Tests/LibClaims/ClaimHistory.cpp
@@ -33,7 +33,7 @@
     , m_mutation(mutation)
     , m_epoch(m_clock.wallNow())
     , m_kind(historyKind(seed))
-    , m_log(m_clock, m_kind == HistoryKind::EarlyLoss ? 8s : 100s)
+    , m_log(m_clock, m_kind == HistoryKind::ShortRetention ? 8s : 100s)
     , m_settings(historySettings())
     , m_instances(InstanceCount)
 { }
@@ -121,7 +121,7 @@
 
 bool ClaimHistory::hasCrashes() const
 {
-    return m_kind == HistoryKind::Faults || m_kind == HistoryKind::EarlyLoss;
+    return m_kind == HistoryKind::Faults || m_kind == HistoryKind::ShortRetention;
 }
 
 bool ClaimHistory::maybeCrash(std::size_t n)
@@ -212,9 +212,9 @@
             if (chance(30))
                 return execute(n, engine.beginClose(id, call, Core::ErrorKind::PoisonRequest));
             const auto error = engine.earlyRejection(Core::ErrorKind::Overloaded, call.key);
-            const bool promise = m_mutation == Mutation::EarlyRejectionPromises;
+            const bool reportsNotRun = m_mutation == Mutation::EarlyRejectionReportsNotRun;
             recordAnswer(id, {nullptr, false, error.kind(), error.attempt(),
-                              promise ? Core::ExecutionStatus::NotRun : *error.key()});
+                              reportsNotRun ? Core::ExecutionStatus::NotRun : *error.key()});
         });
     });
 }
@@ -368,7 +368,7 @@
     if (m_mutation == Mutation::SendWithoutVerdict && claimTimedOut)
         simulateService(n, action.call);
     m_calls.at(action.call).sendsLateClaim = m_mutation == Mutation::SendLateClaim && claimTimedOut;
-    if (m_mutation == Mutation::ExpiryPromises && outcome.error == Core::ErrorKind::KeyExpired)
+    if (m_mutation == Mutation::ExpiryReportsNotRun && outcome.error == Core::ErrorKind::KeyExpired)
         outcome.key = Core::ExecutionStatus::NotRun;
     recordAnswer(action.call, outcome);
 }
@@ -388,7 +388,7 @@
     const auto records = decodeBatch(entry.data).value();
     for (const auto &it : records) {
         const bool isOwn = it.attempt.origin == origin;
-        if (m_mutation == Mutation::ReadOnlyOwnClaims && !isOwn)
+        if (m_mutation == Mutation::IgnoreOtherClaims && !isOwn)
             continue;
         if (m_mutation == Mutation::IgnoreVoids && it.kind == RecordKind::Void)
             continue;
--- a/Tests/LibClaims/ClaimHistory.h
+++ b/Tests/LibClaims/ClaimHistory.h
@@ -14,7 +14,7 @@
 enum class Mutation {
     None,
     /// Readers ignore the claims of other instances.
-    ReadOnlyOwnClaims,
+    IgnoreOtherClaims,
     /// Readers treat a claim as void once it is older than a lease.
     LeaseTakeover,
     /// A send whose outcome was lost is retried.
@@ -28,9 +28,9 @@
     /// Readers do not notice missing records.
     HideGaps,
     /// An early rejection states that the key has not run.
-    EarlyRejectionPromises,
+    EarlyRejectionReportsNotRun,
     /// A refusal of an expired key states that the key has not run.
-    ExpiryPromises,
+    ExpiryReportsNotRun,
     /// A restarted instance derives its attempt ids from its incarnation number only.
     ReuseOrigin,
     /// The digest of a key's request is not compared.
@@ -39,7 +39,7 @@
 
 /// The kinds of faults in a history, selected by the seed.
 enum class HistoryKind {
-    EarlyLoss,
+    ShortRetention,
     FaultFree,
     FaultsWithoutCrashes,
     Faults,
--- a/Tests/LibClaims/ClaimHistoryCheck.cpp
+++ b/Tests/LibClaims/ClaimHistoryCheck.cpp
@@ -69,7 +69,7 @@
         const bool inDoubt = outcome.error == Core::ErrorKind::KeyOutcomeUnknown
                              || outcome.error == Core::ErrorKind::KeyInProgress;
         if (call.isProbe && inDoubt && m_report.crashes == 0 && !m_hasLongFreeze
-            && m_kind != HistoryKind::EarlyLoss && m_sends[key] == 0)
+            && m_kind != HistoryKind::ShortRetention && m_sends[key] == 0)
             addViolation(it.call, "a key that was never sent remains held");
     }
     for (const auto &[id, call] : m_calls) {
--- a/Tests/LibClaims/TestClaimHistories.cpp
+++ b/Tests/LibClaims/TestClaimHistories.cpp
@@ -60,11 +60,11 @@
     print("no faults", totals[HistoryKind::FaultFree]);
     print("faults without crashes", totals[HistoryKind::FaultsWithoutCrashes]);
     print("faults", totals[HistoryKind::Faults]);
-    print("faults and early loss of records", totals[HistoryKind::EarlyLoss]);
+    print("faults and early loss of records", totals[HistoryKind::ShortRetention]);
     // The histories must have produced the events that they are meant to test.
     CHECK(totals[HistoryKind::Faults].crashes > HistoryCount / 4);
     CHECK(totals[HistoryKind::Faults].rebuilds > HistoryCount / 100);
-    CHECK(totals[HistoryKind::EarlyLoss].rebuilds > HistoryCount / 8);
+    CHECK(totals[HistoryKind::ShortRetention].rebuilds > HistoryCount / 8);
     CHECK(totals[HistoryKind::FaultsWithoutCrashes].voids > HistoryCount / 16);
     CHECK(totals[HistoryKind::FaultFree].replays > HistoryCount / 4);
     // Without faults, only the status of early rejected calls and expired keys is unknown.
@@ -74,7 +74,7 @@
 
 TEST_CASE("if readers ignore other instances' claims, keys run twice")
 {
-    CHECK(violationsWith(Mutation::ReadOnlyOwnClaims, " times") > 0);
+    CHECK(violationsWith(Mutation::IgnoreOtherClaims, " times") > 0);
 }
 
 TEST_CASE("with expiring leases instead of permanent claims, a frozen holder runs a key twice")
@@ -111,8 +111,8 @@
 TEST_CASE(
     "if early rejections or refusals of expired keys report the key as not run, they are wrong")
 {
-    CHECK(violationsWith(Mutation::EarlyRejectionPromises, "key was reported as not run") > 0);
-    CHECK(violationsWith(Mutation::ExpiryPromises, "key was reported as not run") > 0);
+    CHECK(violationsWith(Mutation::EarlyRejectionReportsNotRun, "key was reported as not run") > 0);
+    CHECK(violationsWith(Mutation::ExpiryReportsNotRun, "key was reported as not run") > 0);
 }
 
 TEST_CASE("without a new origin, a restarted instance treats old claims as its own")
--- a/Tests/LibClaims/TestClaimIndex.cpp
+++ b/Tests/LibClaims/TestClaimIndex.cpp
@@ -140,16 +140,16 @@
 {
     ClaimPartition reader(testWindow());
     auto it = record(RecordKind::Claim, 1);
-    VerdictKind last {};
+    VerdictKind lastVerdict {};
     const auto recordVerdict = [&](const ClaimRecord &, const Verdict &verdict) {
-        last = verdict.kind;
+        lastVerdict = verdict.kind;
     };
     reader.consume({5, 6, {{5, Epoch + 10s, encodeBatch({&it, 1})}}}, Epoch, recordVerdict);
-    CHECK(last == VerdictKind::Uncertain);
+    CHECK(lastVerdict == VerdictKind::Uncertain);
     it = record(RecordKind::Claim, 2, 1);
     it.key.issuedAt = Epoch + 13s;
     reader.consume({5, 7, {{6, Epoch + 13s, encodeBatch({&it, 1})}}}, Epoch, recordVerdict);
-    CHECK(last == VerdictKind::Won);
+    CHECK(lastVerdict == VerdictKind::Won);
     CHECK(reader.rebuildCount() == 1);
 }
 
