--- a/Libraries/LibClaims/ClaimCodec.cpp
+++ b/Libraries/LibClaims/ClaimCodec.cpp
@@ -28,7 +28,7 @@
     const auto kind = static_cast<RecordKind>(record.kind());
     if (kind < RecordKind::Claim || kind > RecordKind::Finished)
         return std::nullopt;
-    if (record.key()->size() == 0 || record.key()->size() > MaximumKeyBytes)
+    if (record.key()->size() == 0 || record.key()->size() > MaxKeyBytes)
         return std::nullopt;
     const IssueTime issuedAt {std::chrono::milliseconds(record.issued_at_ms())};
     return ClaimRecord {
@@ -55,7 +55,7 @@
 
 std::optional<std::vector<ClaimRecord>> decodeBatch(std::string_view bytes)
 {
-    // FlatBuffers reads scalars in place, so the buffer has to be aligned as the builder left it.
+    // FlatBuffers reads scalars in place and requires an aligned buffer, so the bytes are copied.
     const std::vector<std::uint8_t> buf(bytes.begin(), bytes.end());
     flatbuffers::Verifier verifier(buf.data(), buf.size());
     if (!Wire::VerifyBatchBuffer(verifier))
--- a/Libraries/LibClaims/ClaimKey.cpp
+++ b/Libraries/LibClaims/ClaimKey.cpp
@@ -10,8 +10,8 @@
 
 constexpr std::uint64_t HighSeed = 1;
 constexpr std::uint64_t LowSeed = 2;
-// The year 9999, so that arithmetic on issue times cannot overflow.
-constexpr std::int64_t LatestIssueTimeMs = 253'402'300'799'000;
+// The end of the year 9999. The limit keeps arithmetic on issue times from overflowing.
+constexpr std::int64_t MaxIssueTimeMs = 253'402'300'799'000;
 
 bool isKeyByte(char byte)
 {
@@ -23,7 +23,7 @@
     std::int64_t value = 0;
     const auto *end = text.data() + text.size();
     const auto [rest, ec] = std::from_chars(text.data(), end, value);
-    if (ec != std::errc {} || rest != end || value < 0 || value > LatestIssueTimeMs)
+    if (ec != std::errc {} || rest != end || value < 0 || value > MaxIssueTimeMs)
         return std::nullopt;
     return IssueTime(std::chrono::milliseconds(value));
 }
@@ -44,10 +44,13 @@
                                           std::chrono::milliseconds margin)
 {
     if (window.count() <= 0 || skew.count() < 0 || margin.count() < 0)
-        return Core::Error(Core::ErrorKind::SettingsInvalid, "key window, skew or margin");
+        return Core::Error(
+            Core::ErrorKind::SettingsInvalid,
+            "the key window must be positive, and skew and margin must not be negative");
     if (window + skew + margin > retention)
-        return Core::Error(Core::ErrorKind::SettingsInvalid,
-                           "the key window with skew and margin outlasts the log's retention");
+        return Core::Error(
+            Core::ErrorKind::SettingsInvalid,
+            "the sum of key window, clock skew and margin exceeds the log's retention");
     return KeyWindow(window, skew);
 }
 
@@ -76,11 +79,13 @@
 {
     if (!key || !issuedAt)
         return Core::Error(Core::ErrorKind::MissingIdempotencyKey);
-    if (key->empty() || key->size() > MaximumKeyBytes || !std::ranges::all_of(*key, isKeyByte))
-        return Core::Error(Core::ErrorKind::InvalidIdempotencyKey, "Idempotency-Key");
+    if (key->empty() || key->size() > MaxKeyBytes || !std::ranges::all_of(*key, isKeyByte))
+        return Core::Error(Core::ErrorKind::InvalidIdempotencyKey,
+                           "Idempotency-Key must be 1 to 255 visible ASCII characters");
     const auto time = parseIssueTime(*issuedAt);
     if (!time)
-        return Core::Error(Core::ErrorKind::InvalidIdempotencyKey, "Idempotency-Issued-At");
+        return Core::Error(Core::ErrorKind::InvalidIdempotencyKey,
+                           "Idempotency-Issued-At must be a time in milliseconds since the epoch");
     return ClaimKey {team, std::string(*key), *time};
 }
 
--- a/Tests/LibAccounting/TestUsageLedger.cpp
+++ b/Tests/LibAccounting/TestUsageLedger.cpp
@@ -21,7 +21,8 @@
     return {{Core::TeamId("t0"), 333'333}, {Core::TeamId("t1"), 333'333}};
 }
 
-/// One instance with its meter and outbox, which works at random and keeps count on its own.
+/// One instance with a meter and an outbox. It starts and finishes requests at random and tracks
+/// the running ones independently.
 struct Instance
 {
     Instance(const Core::Clock &clock, int n)
@@ -51,17 +52,17 @@
     std::array<int, 3> running {};
 };
 
-/// A log whose answers are lost at times, and that is out at times.
+/// A log with simulated outages and lost acknowledgements.
 struct FaultyLog
 {
-    void append(UsageOutbox &outbox, bool isOut, bool isLast)
+    void append(UsageOutbox &outbox, bool isUnavailable, bool isLast)
     {
         while (const auto batch = outbox.nextBatch(isLast && outbox.pending() == 0)) {
-            if (isOut)
+            if (isUnavailable)
                 return;
             records.push_back(*batch);
             if (!isLast && rng() % 3 == 0)
-                return; // Taken, but the answer is lost: the outbox sends the batch again.
+                return; // Stored, but the acknowledgement is lost: the outbox sends it again.
             outbox.noteAppended();
             if (isLast && outbox.pending() == 0)
                 return;
@@ -74,7 +75,7 @@
 
 } // namespace
 
-TEST_CASE("the account is exact over lost answers, doubled appends and outages")
+TEST_CASE("the usage report is exact despite lost acknowledgements, duplicate appends and outages")
 {
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         Core::ManualClock clock;
@@ -92,11 +93,11 @@
             instances[rng() % 3]->work(rng, tokens);
             if (step % 100 != 99)
                 continue;
-            const bool isOut = step > 1000 && step < 2000;
+            const bool isUnavailable = step > 1000 && step < 2000;
             for (auto &it : instances) {
                 it->outbox.add(it->meter.closeInterval(1));
-                log.append(it->outbox, isOut, false);
-                // One batch unanswered and one record waiting, however long the outage.
+                log.append(it->outbox, isUnavailable, false);
+                // At most one unacknowledged and one unsent record, however long the outage.
                 CHECK(it->outbox.pending() <= 2);
             }
         }
@@ -149,7 +150,7 @@
     CHECK(report.groups.front().capacity == 20);
 }
 
-TEST_CASE("bytes that are not a batch are refused and change nothing")
+TEST_CASE("bytes that are not a valid batch are rejected and do not change the ledger")
 {
     std::mt19937_64 rng(9);
     const auto good = encode({.instance = Core::InstanceId("i"),
@@ -167,7 +168,7 @@
     for (int n = 0; n < 2000; ++n) {
         auto bytes = good;
         bytes[rng() % bytes.size()] = static_cast<char>(rng());
-        // Either refused or read without a fault; the sanitizers watch.
+        // Must be rejected or decoded without a fault; sanitizer builds detect invalid accesses.
         (void)decodeUsageBatch(bytes);
     }
     CHECK(ledger.report({}, Core::Clock::Wall(1h)).groups.empty());
--- a/Tests/LibClaims/TestClaimIndex.cpp
+++ b/Tests/LibClaims/TestClaimIndex.cpp
@@ -31,12 +31,12 @@
 {
     Platform::LogOffset offset = 0;
     AttemptId attempt;
-    VerdictKind kind = VerdictKind::Dead;
+    VerdictKind kind = VerdictKind::AttemptEnded;
     friend bool operator==(const Decision &, const Decision &) = default;
 };
 
-/// A random stream: claims with copies, voids before and after their claims, closes, finished
-/// records, garbage, and issue times on both sides of the window.
+/// Generates a random stream: claims and copies of them, voids before and after their claims,
+/// closes, finished records, malformed appends, and issue times inside and outside the window.
 std::vector<Platform::LogRecord> randomStream(std::mt19937_64 &rng, std::size_t count)
 {
     std::vector<Platform::LogRecord> stream;
@@ -61,9 +61,9 @@
 {
     ClaimPartition reader(testWindow());
     std::vector<Decision> decisions;
-    while (reader.next() < next) {
+    while (reader.nextOffset() < next) {
         Platform::LogPage page {first, next, {}};
-        const auto from = std::max(first, reader.next());
+        const auto from = std::max(first, reader.nextOffset());
         const auto until = std::min<Platform::LogOffset>(next, from + 1 + rng() % 7);
         page.records.assign(stream.begin() + static_cast<std::ptrdiff_t>(from),
                             stream.begin() + static_cast<std::ptrdiff_t>(until));
@@ -82,7 +82,7 @@
 
 } // namespace
 
-TEST_CASE("the first live claim wins and a copy is the same claim")
+TEST_CASE("the first valid claim wins, and a copy of a claim counts as the same claim")
 {
     ClaimIndex index(testWindow());
     CHECK(index.apply(record(RecordKind::Claim, 1), Epoch).kind == VerdictKind::Won);
@@ -90,20 +90,20 @@
     CHECK(index.apply(record(RecordKind::Claim, 1), Epoch).kind == VerdictKind::Won);
     CHECK(index.apply(record(RecordKind::Claim, 3, 0, 8), Epoch).kind == VerdictKind::Conflict);
     index.apply(record(RecordKind::Void, 1), Epoch);
-    // The claim that lost has answered its caller and must not come back to life.
-    CHECK(index.apply(record(RecordKind::Claim, 2), Epoch).kind == VerdictKind::Dead);
+    // The attempt that lost has already answered its caller, so a copy of its claim must not win.
+    CHECK(index.apply(record(RecordKind::Claim, 2), Epoch).kind == VerdictKind::AttemptEnded);
     CHECK(index.apply(record(RecordKind::Claim, 4), Epoch).kind == VerdictKind::Won);
 }
 
-TEST_CASE("a void that overtakes its claim still voids it")
+TEST_CASE("a void that precedes its claim in the log still voids it")
 {
     ClaimIndex index(testWindow());
     index.apply(record(RecordKind::Void, 1), Epoch);
-    CHECK(index.apply(record(RecordKind::Claim, 1), Epoch).kind == VerdictKind::Dead);
+    CHECK(index.apply(record(RecordKind::Claim, 1), Epoch).kind == VerdictKind::AttemptEnded);
     CHECK(index.apply(record(RecordKind::Claim, 2), Epoch).kind == VerdictKind::Won);
 }
 
-TEST_CASE("a close seals a free key and its own claim, and nobody else's")
+TEST_CASE("a close applies to a free key or its own attempt's key, not to a key of another attempt")
 {
     ClaimIndex index(testWindow());
     index.apply(record(RecordKind::Claim, 1), Epoch);
@@ -115,7 +115,7 @@
     CHECK(index.apply(record(RecordKind::Close, 6, 2), Epoch).kind == VerdictKind::KeyFinished);
 }
 
-TEST_CASE("a claim outside its key's window counts for nothing")
+TEST_CASE("a claim outside its key's window has no effect")
 {
     ClaimIndex index(testWindow());
     CHECK(index.apply(record(RecordKind::Claim, 1), Epoch - 3s).kind == VerdictKind::InFuture);
@@ -124,7 +124,7 @@
     CHECK_FALSE(index.find(record(RecordKind::Claim, 3).key));
 }
 
-TEST_CASE("no key is held longer than its window")
+TEST_CASE("the index removes expired keys within one sweep interval")
 {
     ClaimIndex index(testWindow());
     for (int n = 0; n < 1000; ++n) {
@@ -132,26 +132,28 @@
         it.key.issuedAt = Epoch + n * 1s;
         index.apply(it, it.key.issuedAt);
     }
-    // Sixty live keys and what one sweep interval adds.
+    // Sixty unexpired keys plus those that expire within one sweep interval.
     CHECK(index.keyCount() <= 66);
 }
 
-TEST_CASE("after a gap the keys that it may have decided are uncertain")
+TEST_CASE("after a gap, keys that the missing records may have affected are uncertain")
 {
     ClaimPartition reader(testWindow());
     auto it = record(RecordKind::Claim, 1);
-    VerdictKind last {};
-    const auto note = [&](const ClaimRecord &, const Verdict &verdict) { last = verdict.kind; };
-    reader.consume({5, 6, {{5, Epoch + 10s, encodeBatch({&it, 1})}}}, Epoch, note);
-    CHECK(last == VerdictKind::Uncertain);
+    VerdictKind lastVerdict {};
+    const auto recordVerdict = [&](const ClaimRecord &, const Verdict &verdict) {
+        lastVerdict = verdict.kind;
+    };
+    reader.consume({5, 6, {{5, Epoch + 10s, encodeBatch({&it, 1})}}}, Epoch, recordVerdict);
+    CHECK(lastVerdict == VerdictKind::Uncertain);
     it = record(RecordKind::Claim, 2, 1);
     it.key.issuedAt = Epoch + 13s;
-    reader.consume({5, 7, {{6, Epoch + 13s, encodeBatch({&it, 1})}}}, Epoch, note);
-    CHECK(last == VerdictKind::Won);
+    reader.consume({5, 7, {{6, Epoch + 13s, encodeBatch({&it, 1})}}}, Epoch, recordVerdict);
+    CHECK(lastVerdict == VerdictKind::Won);
     CHECK(reader.rebuildCount() == 1);
 }
 
-TEST_CASE("any two readers decide alike, whatever they lost")
+TEST_CASE("any two readers reach the same verdicts, whatever records they lost")
 {
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
         INFO("seed " << seed);
@@ -159,25 +161,25 @@
         const auto stream = randomStream(rng, 150);
         const auto all = readAll(stream, 0, stream.size(), rng);
         CHECK(all == readAll(stream, 0, stream.size(), rng));
-        // Prefix-closed: what comes later changes no decision.
+        // Later records do not change earlier verdicts.
         const auto until = rng() % stream.size();
         const auto prefix = readAll(stream, 0, until, rng);
         REQUIRE(prefix.size() <= all.size());
         CHECK(std::equal(prefix.begin(), prefix.end(), all.begin()));
-        // A reader that starts late decides alike on every key that it does not call uncertain.
+        // A reader that starts late reaches the same verdict for every key it considers certain.
         const auto from = rng() % stream.size();
         for (const auto &it : readAll(stream, from, stream.size(), rng, true))
             CHECK(std::find(all.begin(), all.end(), it) != all.end());
     }
 }
 
-TEST_CASE("batches keep every field and damaged bytes are refused, not misread")
+TEST_CASE("batches preserve all fields, and decoding damaged bytes is safe")
 {
     std::mt19937_64 rng(3);
     const std::vector records {record(RecordKind::Claim, 1), record(RecordKind::Void, 2, 5)};
     const auto bytes = encodeBatch(records);
     CHECK(decodeBatch(bytes) == records);
-    // Only padding may be missing at the end.
+    // A cut that removes only padding may still decode.
     for (std::size_t n = 0; n < bytes.size(); ++n) {
         const auto cut = decodeBatch(std::string_view(bytes).substr(0, n));
         CHECK((!cut || (cut == records && n + 4 > bytes.size())));
--- a/Tests/LibClaims/TestClaimMeasures.cpp
+++ b/Tests/LibClaims/TestClaimMeasures.cpp
@@ -10,7 +10,8 @@
 using namespace Claims;
 using namespace std::chrono_literals;
 
-// The figures of docs/design/at-most-once.md. Hidden from the plain run: TestLibClaims "[measure]".
+// Measures the figures in docs/design/at-most-once.md. Hidden from the default run; run them with
+// TestLibClaims "[measure]".
 
 namespace {
 
@@ -23,14 +24,15 @@
     return {kind, key, n, {n % 8, n}, {Core::InstanceId("instance-" + std::to_string(n % 8)), 1}};
 }
 
-/// Twenty seconds of claims at one rate, at one instance with the default batch settings.
+/// Simulates 20 seconds of claims at a constant rate on one instance with the default batch
+/// settings.
 void measureBatches(std::uint64_t rate, std::size_t partitions)
 {
     Core::ManualClock clock;
     ClaimCounters counters;
     ClaimWriter writer({}, partitions, counters);
     const auto claims = rate * 20;
-    double waited = 0;
+    double totalWaitMs = 0;
     for (std::uint64_t n = 0; n < claims; ++n) {
         const auto partition = n * 7919 % partitions;
         writer.enqueue(partition, record(n), clock.now());
@@ -39,60 +41,61 @@
             for (const auto &it : writer.poll(clock.now()))
                 writer.onResult(it.id, true, clock.now());
             const auto step = std::min<std::chrono::nanoseconds>(1ms, next - clock.now());
-            waited += static_cast<double>(writer.pendingCount())
-                      * std::chrono::duration<double, std::milli>(step).count();
+            totalWaitMs += static_cast<double>(writer.pendingCount())
+                           * std::chrono::duration<double, std::milli>(step).count();
             clock.advance(step);
         }
     }
     std::cout << partitions << "  " << rate << "  " << static_cast<double>(counters.appends) / 20
               << "  " << static_cast<double>(counters.appends) / static_cast<double>(claims) << "  "
-              << waited / static_cast<double>(claims) << "  " << counters.appendBytes / claims
+              << totalWaitMs / static_cast<double>(claims) << "  " << counters.appendBytes / claims
               << '\n';
 }
 
-/// The same for calls that finish 50 ms after their claim, before four partitions.
-void measureFinished(std::uint64_t rate, std::chrono::milliseconds finishedAge)
+/// Like measureBatches(), with four partitions and a finished record 50 ms after each claim.
+void measureFinished(std::uint64_t rate, std::chrono::milliseconds maxFinishedAge)
 {
     Core::ManualClock clock;
     ClaimCounters counters;
-    ClaimWriter writer({.finishedAge = finishedAge}, 4, counters);
-    const auto gap = std::chrono::nanoseconds(1s) / rate;
+    ClaimWriter writer({.maxFinishedAge = maxFinishedAge}, 4, counters);
+    const auto interval = std::chrono::nanoseconds(1s) / rate;
     const auto claims = rate * 20;
-    const auto behind = static_cast<std::uint64_t>(50ms / gap) + 1;
-    for (std::uint64_t n = 0; n < claims + behind; ++n) {
+    const auto unfinishedCalls = static_cast<std::uint64_t>(50ms / interval) + 1;
+    for (std::uint64_t n = 0; n < claims + unfinishedCalls; ++n) {
         if (n < claims)
             writer.enqueue(n * 7919 % 4, record(n), clock.now());
-        for (auto left = gap; left > 0ns; left -= std::min<std::chrono::nanoseconds>(left, 1ms)) {
+        for (auto remaining = interval; remaining > 0ns;
+             remaining -= std::min<std::chrono::nanoseconds>(remaining, 1ms)) {
             for (const auto &it : writer.poll(clock.now()))
                 writer.onResult(it.id, true, clock.now());
-            clock.advance(std::min<std::chrono::nanoseconds>(left, 1ms));
+            clock.advance(std::min<std::chrono::nanoseconds>(remaining, 1ms));
         }
-        if (n >= behind) {
-            const auto it = n - behind;
+        if (n >= unfinishedCalls) {
+            const auto it = n - unfinishedCalls;
             writer.enqueue(it * 7919 % 4, record(it, RecordKind::Finished), clock.now());
         }
     }
-    std::cout << finishedAge.count() << "  " << rate << "  "
+    std::cout << maxFinishedAge.count() << "  " << rate << "  "
               << static_cast<double>(counters.appends) / static_cast<double>(claims) << '\n';
 }
 
 } // namespace
 
-TEST_CASE("appends a claim and the wait before the append, by load", "[.measure]")
+TEST_CASE("appends per claim and wait before the append, by load", "[.measure]")
 {
     std::cout << "partitions  claims/s  appends/s  appends/claim  mean wait ms  bytes/claim\n";
     for (const std::size_t partitions : {1, 4, 16}) {
         for (const std::uint64_t rate : {5, 20, 50, 200, 1000, 5000})
             measureBatches(rate, partitions);
     }
-    std::cout << "finished age ms  claims/s  appends/claim, finished records counted\n";
+    std::cout << "finished age ms  claims/s  appends/claim including finished records\n";
     for (const auto age : {2ms, 250ms}) {
         for (const std::uint64_t rate : {5, 20, 50, 200, 1000, 5000})
             measureFinished(rate, age);
     }
 }
 
-TEST_CASE("index memory a key and time a record", "[.measure]")
+TEST_CASE("index memory per key and time per record", "[.measure]")
 {
     for (const std::uint64_t keys : {10'000, 100'000, 1'000'000}) {
         ClaimIndex index(KeyWindow::create(1h, 1min, 2h, 1min).value());
@@ -103,12 +106,12 @@
         }
         const std::chrono::duration<double, std::nano> time =
             std::chrono::steady_clock::now() - start;
-        std::cout << keys << " keys: " << index.memoryBytes() / keys << " bytes a key, "
-                  << time.count() / static_cast<double>(keys) / 2 << " ns a record\n";
+        std::cout << keys << " keys: " << index.memoryBytes() / keys << " bytes per key, "
+                  << time.count() / static_cast<double>(keys) / 2 << " ns per record\n";
     }
 }
 
-TEST_CASE("bytes a record in the log and time to decode", "[.measure]")
+TEST_CASE("bytes per record in the log and time to decode", "[.measure]")
 {
     for (const std::size_t count : {1, 16, 256}) {
         std::vector<ClaimRecord> records;
@@ -121,7 +124,7 @@
             REQUIRE(decodeBatch(bytes));
         const std::chrono::duration<double, std::nano> time =
             std::chrono::steady_clock::now() - start;
-        std::cout << count << " records: " << bytes.size() / count << " bytes a record, "
-                  << time.count() / Rounds / static_cast<double>(count) << " ns a record\n";
+        std::cout << count << " records: " << bytes.size() / count << " bytes per record, "
+                  << time.count() / Rounds / static_cast<double>(count) << " ns per record\n";
     }
 }
--- a/Tests/LibClaims/TestClaimWriter.cpp
+++ b/Tests/LibClaims/TestClaimWriter.cpp
@@ -1,6 +1,6 @@
 #include <LibClaims/ClaimCodec.h>
-#include <LibClaims/ClaimRelay.h>
 #include <LibClaims/ClaimWriter.h>
+#include <LibClaims/ClaimWriterSelection.h>
 #include <LibCore/ManualClock.h>
 
 #include <catch2/catch.hpp>
@@ -23,7 +23,7 @@
     return decodeBatch(batch.data).value().size();
 }
 
-/// Appends made for claims that arrive at the given rate for ten seconds.
+/// Returns the number of appends made for claims that arrive at the given rate for ten seconds.
 std::uint64_t appendsAt(std::uint64_t claimsPerSecond)
 {
     Core::ManualClock clock;
@@ -40,11 +40,11 @@
 
 } // namespace
 
-TEST_CASE("a batch closes on size or age")
+TEST_CASE("a batch is appended when it reaches its maximum size or age")
 {
     Core::ManualClock clock;
     ClaimCounters counters;
-    ClaimWriter writer({.age = 5ms, .records = 3}, 1, counters);
+    ClaimWriter writer({.maxAge = 5ms, .maxRecords = 3}, 1, counters);
     writer.enqueue(0, claim(1), clock.now());
     CHECK(writer.poll(clock.now()).empty());
     CHECK(writer.nextDeadline(clock.now()) == clock.now() + 5ms);
@@ -60,7 +60,7 @@
     CHECK(recordsIn(batches.front()) == 1);
 }
 
-TEST_CASE("finished records travel with the next claim, or alone after a while")
+TEST_CASE("finished records are appended with the next claim, or alone after their maximum age")
 {
     Core::ManualClock clock;
     ClaimCounters counters;
@@ -80,7 +80,7 @@
     CHECK(writer.poll(clock.now()).size() == 1);
 }
 
-TEST_CASE("appends keep to their rate however many claims come")
+TEST_CASE("appends stay within the rate limit at any claim rate")
 {
     constexpr std::uint64_t RateBound = 10 * 40 + 20 + 1;
     CHECK(appendsAt(10) == 100);
@@ -102,7 +102,7 @@
     CHECK(writer.poll(clock.now()).empty());
     clock.advance(49ms);
     CHECK(writer.poll(clock.now()).empty());
-    // Reading one record back shows that the log takes appends, and ends the wait.
+    // Reading a record back shows that the log accepts appends, and ends the retry delay.
     writer.noteRead(0, RecordKind::Claim, {1, 1});
     batches = writer.poll(clock.now());
     REQUIRE(batches.size() == 1);
@@ -111,7 +111,7 @@
     CHECK(writer.pendingCount() == 0);
 }
 
-TEST_CASE("a claim that never left needs no void, one under way is not repeated")
+TEST_CASE("a cancelled claim needs no void if it was not submitted, and is not repeated if it was")
 {
     Core::ManualClock clock;
     ClaimCounters counters;
@@ -127,7 +127,8 @@
     CHECK(writer.pendingCount() == 0);
 }
 
-TEST_CASE("writers are few, agreed on without a word, and move little when one leaves")
+TEST_CASE("writers are selected deterministically, and few partitions change writers if an "
+          "instance leaves")
 {
     std::vector<Core::InstanceId> live;
     live.reserve(340);
@@ -135,14 +136,14 @@
         live.emplace_back("instance-" + std::to_string(n));
     std::size_t moved = 0;
     for (std::size_t partition = 0; partition < 64; ++partition) {
-        const auto before = claimWriters(partition, live, 2);
+        const auto before = selectClaimWriters(partition, live, 2);
         REQUIRE(before.size() == 2);
         auto shuffled = live;
         std::reverse(shuffled.begin(), shuffled.end());
-        CHECK(claimWriters(partition, shuffled, 2) == before);
+        CHECK(selectClaimWriters(partition, shuffled, 2) == before);
         shuffled.pop_back();
-        moved += claimWriters(partition, shuffled, 2) == before ? 0 : 1;
+        moved += selectClaimWriters(partition, shuffled, 2) == before ? 0 : 1;
     }
     CHECK(moved <= 4);
-    CHECK(claimWriters(0, {}, 2).empty());
+    CHECK(selectClaimWriters(0, {}, 2).empty());
 }
