--- a/Libraries/LibMembership/ProbeService.cpp
+++ b/Libraries/LibMembership/ProbeService.cpp
@@ -44,7 +44,7 @@
     const bool complete = !self.id.instance.isEmpty() && !self.address.empty() && hooks.send;
     if (!complete)
         return Core::Error(Core::ErrorKind::SettingsInvalid,
-                           "membership needs an instance id, an address and a way to send");
+                           "membership requires an instance id, an address and a send hook");
     if (settings.probeTimeout >= settings.period)
         return Core::Error(Core::ErrorKind::SettingsInvalid,
                            "the probe timeout must be shorter than the period");
--- a/Libraries/LibMembership/Snapshot.cpp
+++ b/Libraries/LibMembership/Snapshot.cpp
@@ -22,7 +22,8 @@
                        const SnapshotRequestT &request, std::size_t maxBytes)
 {
     if (request.environment != context.environment)
-        throw Core::Error(Core::ErrorKind::PeerRejected, "a snapshot for another environment");
+        throw Core::Error(Core::ErrorKind::PeerRejected,
+                          "the snapshot request is for another environment");
     SnapshotT snapshot;
     snapshot.version = SnapshotVersion;
     snapshot.environment = context.environment;
--- a/Libraries/LibRouter/CallContext.cpp
+++ b/Libraries/LibRouter/CallContext.cpp
@@ -9,7 +9,8 @@
     constexpr std::string_view Scheme = "Bearer ";
     const auto value = request.headers.find("Authorization").value_or("");
     if (!Http::equalIgnoringCase(value.substr(0, Scheme.size()), Scheme))
-        throw Core::Error(Core::ErrorKind::Unauthenticated, "no bearer key was given");
+        throw Core::Error(Core::ErrorKind::Unauthenticated,
+                          "the request has no Authorization header with a bearer key");
     return value.substr(Scheme.size());
 }
 
@@ -50,7 +51,7 @@
                                    : context.contract->defaultClass;
     if (!context.contract->allows(id))
         throw Core::Error(Core::ErrorKind::Forbidden,
-                          "the contract does not allow the class '" + id.value() + "'");
+                          "the contract does not allow the priority class '" + id.value() + "'");
     context.priorityClass = context.document->priorityClass(id.value());
 }
 
--- a/Libraries/LibRouter/CompletionAttempt.cpp
+++ b/Libraries/LibRouter/CompletionAttempt.cpp
@@ -17,7 +17,7 @@
     const auto status = answer.status();
     if (answer.headers().find("X-Draining"))
         throw UpstreamDraining {};
-    const auto detail = "the upstream answered " + std::to_string(status);
+    const auto detail = "the upstream answered with status " + std::to_string(status);
     if (status == StatusTooManyRequests || status == StatusServiceUnavailable)
         throw Core::Error(Core::ErrorKind::Overloaded, detail);
     if (status >= 400 && status < 500)
@@ -59,16 +59,19 @@
             if (event->data == "[DONE]")
                 continue;
             if (!event->kind.empty())
-                throw Core::Error(Core::ErrorKind::UpstreamFailed, "the upstream sent an error");
+                throw Core::Error(Core::ErrorKind::UpstreamFailed,
+                                  "the upstream sent an error event");
             const auto chunk = CompletionChunk::parse(event->data, attemptId).value();
             co_await handleChunk(chunk, sink, progress);
             if (m_instance.clock().now() - m_context.arrivedAt > m_model.answerTimeout)
-                throw Core::Error(Core::ErrorKind::UpstreamTimedOut, "the answer takes too long");
+                throw Core::Error(Core::ErrorKind::UpstreamTimedOut,
+                                  "the answer exceeds the model's answer timeout");
             answer.setBodyTimeout(m_model.nextTokenTimeout);
         }
     }
     if (!progress.isComplete)
-        throw Core::Error(Core::ErrorKind::UpstreamFailed, "the stream ended before the answer");
+        throw Core::Error(Core::ErrorKind::UpstreamFailed,
+                          "the stream ended before the answer was complete");
 }
 
 asio::awaitable<void> CompletionAttempt::handleChunk(const CompletionChunk &chunk, AnswerSink &sink,
@@ -78,13 +81,14 @@
     const auto index = chunk.tokenIndex().value_or(progress.tokens);
     if (progress.isComplete && hasToken)
         throw Core::Error(Core::ErrorKind::UpstreamAnswerMalformed,
-                          "a token after the answer's end");
+                          "the upstream sent a token after the end of the answer");
     // An engine that resumes from an earlier token than requested repeats tokens that the caller
     // already has.
     if (hasToken && index < progress.tokens)
         co_return;
     if (index > progress.tokens)
-        throw Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "a gap in the stream");
+        throw Core::Error(Core::ErrorKind::UpstreamAnswerMalformed,
+                          "the upstream skipped a token of the stream");
     if (hasToken && !std::exchange(m_hasToken, true) && m_options.firstToken)
         m_options.firstToken();
     if (hasToken) {
--- a/Libraries/LibRouter/CompletionCall.cpp
+++ b/Libraries/LibRouter/CompletionCall.cpp
@@ -34,7 +34,7 @@
 {
     const auto &messages = required(body, "messages");
     if (!messages.is_array() || messages.get_array().empty())
-        throw malformed("the field 'messages' is not a list with an entry");
+        throw malformed("the field 'messages' is not a non-empty array");
     std::string text;
     for (const auto &message : messages.get_array()) {
         if (!message.is_object())
@@ -67,7 +67,7 @@
     boost::system::error_code ec;
     const auto count = field->to_number<std::uint64_t>(ec);
     if (ec || count == 0)
-        throw malformed("the field 'max_tokens' is not a positive whole number");
+        throw malformed("the field 'max_tokens' is not a positive integer");
     return count;
 }
 
--- a/Libraries/LibRouter/CompletionRelay.cpp
+++ b/Libraries/LibRouter/CompletionRelay.cpp
@@ -280,7 +280,8 @@
 {
     if (m_progress.tokens > 0)
         return Core::Error(Core::ErrorKind::StreamInterrupted,
-                           m_lastError ? m_lastError->what() : "no upstream is left");
+                           m_lastError ? m_lastError->what()
+                                       : "no upstream is left to resume the stream");
     return m_lastError.value_or(Core::Error(Core::ErrorKind::NoUpstream));
 }
 
--- a/Libraries/LibRouter/RouterMetrics.h
+++ b/Libraries/LibRouter/RouterMetrics.h
@@ -22,12 +22,15 @@
     Metrics::RatioHistogram prefixHit {"jujube_prefix_hit_ratio",
                                        "Share of a prompt's tokens that the engine had cached."};
     Metrics::Counter requests {"jujube_requests_total", "Requests by outcome.", "outcome"};
-    Metrics::Counter refusals {"jujube_errors_total", "Errors given to callers by kind.", "kind"};
-    Metrics::Counter promptTokens {"jujube_prompt_tokens_total", "Prompt tokens answered."};
+    Metrics::Counter refusals {"jujube_errors_total", "Errors returned to callers by kind.",
+                               "kind"};
+    Metrics::Counter promptTokens {"jujube_prompt_tokens_total",
+                                   "Prompt tokens of complete answers."};
     Metrics::Counter cachedTokens {"jujube_cached_tokens_total",
                                    "Prompt tokens that engines had cached."};
     Metrics::Counter completionTokens {"jujube_completion_tokens_total", "Tokens generated."};
-    Metrics::Counter resumed {"jujube_streams_resumed_total", "Streams resumed elsewhere."};
+    Metrics::Counter resumed {"jujube_streams_resumed_total",
+                              "Streams resumed at another upstream."};
     Metrics::Counter retries {"jujube_retries_total", "Attempts after the first."};
 
     std::string render() const { return m_registry.render(); }
--- a/Libraries/LibSiblings/SiblingService.cpp
+++ b/Libraries/LibSiblings/SiblingService.cpp
@@ -220,7 +220,7 @@
         co_return answerSnapshot(*snapshot);
     if (request.AsDocumentRequest())
         co_return answerDocument();
-    throw Core::Error(Core::ErrorKind::FrameInvalid, "a request of an unknown kind");
+    throw Core::Error(Core::ErrorKind::FrameInvalid, "unknown kind of peer request");
 }
 
 Peer::Body SiblingService::answerClaim(const Peer::Wire::ClaimQueryT &query) const
--- a/Tests/LibMembership/TestMemberTable.cpp
+++ b/Tests/LibMembership/TestMemberTable.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("beliefs merge alike in any order and any number of times")
+TEST_CASE("member updates merge to the same state in any order and any number of times")
 {
     const Membership::MembershipSettings settings;
     std::mt19937_64 rng(3);
@@ -50,7 +50,7 @@
     }
 }
 
-TEST_CASE("the dead are not taken in by those who never knew them")
+TEST_CASE("a dropped member that was never known is not added")
 {
     const Membership::MembershipSettings settings;
     MemberTable table(settings, [](const Member &, Membership::MemberChange) {});
@@ -74,7 +74,7 @@
     CHECK(table.find({former.id.instance, 0}) == nullptr);
 }
 
-TEST_CASE("news goes first, and what is said of the receiver goes out without budget")
+TEST_CASE("new updates are sent first, and an update about the receiver is sent without budget")
 {
     const Membership::MembershipSettings settings;
     std::mt19937_64 rng(3);
@@ -95,7 +95,7 @@
     CHECK(updatesForSuspected.front().id == suspected.id);
 }
 
-TEST_CASE("the size estimate of a member is no less than what it takes in a message")
+TEST_CASE("the size estimate of a member is at least its size in a message")
 {
     Membership::Probe probe {1, member("entry-1", 1, 0, MemberState::Alive), {}};
     const auto size = [&probe] {
--- a/Tests/LibMembership/TestProbeService.cpp
+++ b/Tests/LibMembership/TestProbeService.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("a herd that starts at once finds all its members from the list and by peers' word")
+TEST_CASE("instances that start together discover all members from the list and from peers")
 {
     const std::size_t count = GENERATE(2, 8, 40);
     FakeFleet fleet(count);
@@ -34,7 +34,7 @@
     CHECK(fleet.count(MemberChange::Suspected) == 0);
 }
 
-TEST_CASE("a member listed nowhere is found by peers' word")
+TEST_CASE("an unlisted member is discovered through its peers")
 {
     FakeFleet fleet(5);
     startAndConverge(fleet, 8, 2);
@@ -44,7 +44,7 @@
     CHECK(fleet.isComplete());
 }
 
-TEST_CASE("a dead member is dropped everywhere, with the platform out")
+TEST_CASE("a failed member is dropped by all members while the platform is unavailable")
 {
     const std::size_t count = GENERATE(2, 8, 40);
     FakeFleet fleet(count);
@@ -57,7 +57,7 @@
     CHECK(fleet.isComplete());
 }
 
-TEST_CASE("one path cut in one direction drops nobody")
+TEST_CASE("a path that is cut in one direction drops nobody")
 {
     FakeFleet fleet(7);
     startAndConverge(fleet, 8, 2);
@@ -67,7 +67,7 @@
     CHECK(fleet.isComplete());
 }
 
-TEST_CASE("a member that hears nobody does not make the others drop each other")
+TEST_CASE("a member that receives no messages does not make the others drop each other")
 {
     FakeFleet fleet(7);
     startAndConverge(fleet, 8, 2);
@@ -82,7 +82,7 @@
     CHECK(fleet.isComplete());
 }
 
-TEST_CASE("a frozen member that wakes is taken back and has dropped nobody itself")
+TEST_CASE("a frozen member that resumes is accepted again and has dropped nobody itself")
 {
     FakeFleet fleet(9);
     startAndConverge(fleet, 8, 2);
@@ -96,7 +96,7 @@
         CHECK_FALSE((event.observer == 0 && event.change == MemberChange::Died));
 }
 
-TEST_CASE("a member that was frozen with a suspicion in hand does not act on it when it wakes")
+TEST_CASE("a member that was frozen with a pending suspicion does not act on it when it resumes")
 {
     FakeFleet fleet(9);
     startAndConverge(fleet, 8, 2);
@@ -138,7 +138,7 @@
     CHECK(suspicions <= 60 * 200 / 100);
 }
 
-TEST_CASE("a member that leaves is told from one that died, and suspected by nobody")
+TEST_CASE("a leaving member is distinguished from a failed one and suspected by nobody")
 {
     FakeFleet fleet(15);
     startAndConverge(fleet, 8, 2);
@@ -167,7 +167,7 @@
     CHECK(fleet.seenLiveBy(fleet.id(later)) == 7);
 }
 
-TEST_CASE("another instance at a reused address is told from the former one")
+TEST_CASE("another instance at a reused address is distinguished from the former one")
 {
     FakeFleet fleet(19);
     startAndConverge(fleet, 8, 2);
@@ -181,7 +181,7 @@
     CHECK(fleet.count(MemberChange::Replaced) > 0);
 }
 
-TEST_CASE("two processes that use one instance id at a time are both kept and told apart")
+TEST_CASE("two concurrent processes with one instance id are both kept as separate members")
 {
     FakeFleet fleet(21);
     startAndConverge(fleet, 8, 2);
@@ -194,7 +194,7 @@
     CHECK(fleet.nodes[duplicate].service->laterIncarnationsSeen() == 0);
 }
 
-TEST_CASE("a data centre that is cut off goes on with what it knows and is found again")
+TEST_CASE("a data centre that is cut off keeps its own members and is found again")
 {
     FakeFleet fleet(23);
     startAndConverge(fleet, 24, 4);
@@ -207,7 +207,7 @@
     CHECK(fleet.isComplete());
 }
 
-TEST_CASE("a lagging list neither drops the living nor brings back the dead")
+TEST_CASE("a lagging list neither drops live members nor restores dropped ones")
 {
     FakeFleet fleet(25);
     startAndConverge(fleet, 8, 2);
@@ -223,7 +223,7 @@
     CHECK(fleet.seenLiveBy(failed) == 0);
 }
 
-TEST_CASE("a node's bytes keep to their share and do not grow with the fleet")
+TEST_CASE("a node's traffic stays within its budget and does not grow with the fleet")
 {
     // The part of the control budget of 12 KB per second that remains after shared state, sent and
     // received.
--- a/Tests/LibMembership/TestSharedState.cpp
+++ b/Tests/LibMembership/TestSharedState.cpp
@@ -57,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("each kind of item survives its record")
+TEST_CASE("each kind of item survives encoding and decoding")
 {
     std::mt19937_64 rng(1);
     auto items = randomItems(rng, 50);
@@ -74,7 +74,7 @@
     CHECK_FALSE(itemFromWire(unknown));
 }
 
-TEST_CASE("shared state merges alike in any order and any number of times")
+TEST_CASE("shared state merges to the same content in any order and any number of times")
 {
     const Core::ManualClock clock;
     std::mt19937_64 rng(2);
@@ -109,7 +109,7 @@
     CHECK(crashes(left, 1) == std::vector<std::uint64_t> {10, 11});
 }
 
-TEST_CASE("the most valuable go first and the bytes are kept")
+TEST_CASE("the most valuable items are sent first, within the byte limit")
 {
     const Core::ManualClock clock;
     SharedState state(clock, {}, {});
@@ -124,7 +124,7 @@
     CHECK(records[2].first() == 100);
 }
 
-TEST_CASE("a lower generation is never taken, and an old item is not believed again")
+TEST_CASE("a lower generation is never accepted, and an expired item is not accepted again")
 {
     Core::ManualClock clock;
     SharedState state(clock, {}, {});
@@ -152,7 +152,7 @@
     CHECK(fresh.size() == 1);
 }
 
-TEST_CASE("what is new is passed on a bounded number of times and never in circles")
+TEST_CASE("an update is sent a bounded number of times and never circulates")
 {
     const Core::ManualClock clock;
     SharedStateSettings settings;
@@ -170,7 +170,7 @@
     CHECK(sent == 2 * settings.maxTransmissions);
 }
 
-TEST_CASE("the number of items is bounded, and the most valuable stay")
+TEST_CASE("the number of items is bounded, and the most valuable items are kept")
 {
     const Core::ManualClock clock;
     SharedStateSettings settings;
@@ -187,7 +187,7 @@
     CHECK(state.size() >= settings.maxItems / 2);
 }
 
-TEST_CASE("two instances that see one thing differently do not outbid each other for ever")
+TEST_CASE("two instances that observe one item differently do not supersede each other forever")
 {
     const Core::ManualClock clock;
     const SharedStateSettings settings;
@@ -210,7 +210,7 @@
     CHECK(sortedRecords(left) == sortedRecords(right));
 }
 
-TEST_CASE("a publisher sends no more than its budget, whatever there is to say")
+TEST_CASE("a publisher stays within its budget for any amount of new state")
 {
     Core::ManualClock clock;
     std::mt19937_64 rng(4);
--- a/Tests/LibMembership/TestSnapshot.cpp
+++ b/Tests/LibMembership/TestSnapshot.cpp
@@ -56,7 +56,7 @@
     CHECK_THROWS_AS(makeSnapshot(context, {}, state, 1h, request, 1'000), Core::Error);
 }
 
-TEST_CASE("a snapshot keeps to the smaller of both limits")
+TEST_CASE("a snapshot stays within the smaller of both limits")
 {
     const Core::ManualClock clock;
     SharedState state(clock, {}, {});
@@ -75,7 +75,7 @@
     CHECK(size(1'000'000) > 50'000);
 }
 
-TEST_CASE("a warm sibling ends the search; siblings that are as new are taken together")
+TEST_CASE("a warm sibling completes the collection and snapshots of new siblings are merged")
 {
     const Core::ManualClock clock;
     SharedState state(clock, {}, {});
--- a/Tests/LibSiblings/TestSharedStateBridge.cpp
+++ b/Tests/LibSiblings/TestSharedStateBridge.cpp
@@ -58,7 +58,7 @@
 
 } // namespace
 
-TEST_CASE("a sibling's belief counts once the upstream has been heard from")
+TEST_CASE("a sibling's prefix location is imported once the upstream's incarnation is known")
 {
     Fixture fixture;
     fixture.receiveLocation(7);
@@ -68,7 +68,7 @@
     CHECK(fixture.hasPrefix());
 }
 
-TEST_CASE("a sibling's belief about another incarnation never counts")
+TEST_CASE("a sibling's prefix location for another incarnation is never imported")
 {
     Fixture fixture;
     fixture.receiveLocation(7);
