--- a/Libraries/LibGateway/RequestPlan.cpp
+++ b/Libraries/LibGateway/RequestPlan.cpp
@@ -146,8 +146,7 @@
                                                const std::set<Core::UpstreamId> &excluded)
 {
     if (request.route->services.empty())
-        return Refusal {
-            Core::ErrorKind::NoUpstream, "route " + request.route->name + " has no services", {}};
+        return Refusal {Core::ErrorKind::NoUpstream, "the route has no services", {}};
     const auto name = pickService(gateway, *request.route);
     const auto *service = request.configuration->findService(name);
     if (!service)
--- a/Libraries/LibGateway/RequestRelay.cpp
+++ b/Libraries/LibGateway/RequestRelay.cpp
@@ -405,9 +405,8 @@
     while (auto chunk = co_await answer.readSome()) {
         response.body += *chunk;
         if (response.body.size() > AnswerLimitBytes)
-            co_return noteInterrupted(
-                Core::Error(Core::ErrorKind::UpstreamAnswerMalformed,
-                            "the answer body exceeds " + text(AnswerLimitBytes) + " bytes"));
+            co_return noteInterrupted(Core::Error(Core::ErrorKind::UpstreamAnswerMalformed,
+                                                  "the answer body exceeds the size limit"));
     }
     if (response.status >= 500) {
         noteAttempt("failed", std::to_string(response.status));
