--- a/Libraries/LibGateway/GatewayMetrics.cpp
+++ b/Libraries/LibGateway/GatewayMetrics.cpp
@@ -11,7 +11,7 @@
     m_registry.add(cachedTokens);
     m_registry.add(orders);
     m_registry.add(firstByte);
-    m_registry.add(expectedFirst);
+    m_registry.add(expectedFirstToken);
 }
 
 void GatewayMetrics::addGauge(std::string name, std::string help, std::string labelName,
--- a/Libraries/LibGateway/GatewayMetrics.h
+++ b/Libraries/LibGateway/GatewayMetrics.h
@@ -30,7 +30,7 @@
     Metrics::DurationHistogram firstByte {
         "jujube_gateway_first_byte_seconds",
         "Time from the arrival of a request to the start of its answer."};
-    Metrics::DurationHistogram expectedFirst {
+    Metrics::DurationHistogram expectedFirstToken {
         "jujube_gateway_expected_first_token_seconds",
         "Expected time to the first token when the engine was chosen."};
 
--- a/Libraries/LibGateway/RequestLog.cpp
+++ b/Libraries/LibGateway/RequestLog.cpp
@@ -52,7 +52,7 @@
          {"sends", std::to_string(progress.sends)},
          {"took_ms", formatMilliseconds(now - request.arrival)},
          {"first_ms", formatMilliseconds(progress.firstByte.value_or(now) - request.arrival)},
-         {"expected_ms", formatMilliseconds(engine.expectedFirst)},
+         {"expected_ms", formatMilliseconds(engine.expectedFirstToken)},
          {"ready_tokens", std::to_string(engine.readyTokens)},
          {"kept_tokens", std::to_string(engine.cachedTokens)},
          {"shared_tokens", std::to_string(request.sharedTokens())},
--- a/Libraries/LibGateway/RequestPlan.cpp
+++ b/Libraries/LibGateway/RequestPlan.cpp
@@ -80,10 +80,10 @@
     const auto waitLimit = std::min<EngineModel::Milliseconds>(
         maxTargets * EngineModel::Milliseconds(route.target),
         FirstTokenShare * EngineModel::Milliseconds(request.remainingTime(now)));
-    if (choice.expectedFirst <= waitLimit)
+    if (choice.expectedFirstToken <= waitLimit)
         return std::nullopt;
-    const auto retryAfter = choice.expectedFirst - route.target;
-    const auto expected = static_cast<std::uint64_t>(choice.expectedFirst.count());
+    const auto retryAfter = choice.expectedFirstToken - route.target;
+    const auto expected = static_cast<std::uint64_t>(choice.expectedFirstToken.count());
     return Refusal {Core::ErrorKind::Overloaded,
                     "the expected time to the first token, " + std::to_string(expected)
                         + " ms, is too long",
@@ -162,7 +162,7 @@
     RequestPlan plan;
     plan.service = name;
     plan.upstream =
-        chooseService(gateway.dependencies().fleet.members(name), limits, gateway.random());
+        chooseLeastLoaded(gateway.dependencies().fleet.members(name), limits, gateway.random());
     if (!plan.upstream)
         return Refusal {Core::ErrorKind::NoUpstream,
                         "no upstream of service " + name + " accepts requests", ShortRetryAfter};
--- a/Libraries/LibGateway/RequestRelay.cpp
+++ b/Libraries/LibGateway/RequestRelay.cpp
@@ -119,7 +119,7 @@
         auto plan = planRequest(m_gateway, m_request, m_excluded);
         const auto *refusal = std::get_if<Refusal>(&plan);
         if (refusal && (m_mayHaveExecuted || m_errorResponse || m_exchange.hasStarted())) {
-            co_await finish(AttemptEnd::Interrupted);
+            co_await finish(AttemptOutcome::Interrupted);
             co_return;
         }
         if (refusal) {
@@ -131,7 +131,7 @@
             m_gateway.retries(m_plan->service).noteRequest(m_gateway.dependencies().clock.now());
         isFirst = false;
         const auto end = co_await runAttempt();
-        if (end == AttemptEnd::Answered || !mayRetry(end)) {
+        if (end == AttemptOutcome::Answered || !mayRetry(end)) {
             co_await finish(end);
             co_return;
         }
@@ -164,7 +164,7 @@
     return false;
 }
 
-bool RequestRelay::mayRetry(AttemptEnd end)
+bool RequestRelay::mayRetry(AttemptOutcome end)
 {
     if (m_cancelReason != CancelReason::None || remainingTime() <= 0ms)
         return false;
@@ -175,26 +175,26 @@
                        dependencies.clock.now());
     };
     switch (end) {
-    case AttemptEnd::NotSent:
+    case AttemptOutcome::NotSent:
         return m_progress.sends < MaxSends;
-    case AttemptEnd::NotExecuted:
+    case AttemptOutcome::NotExecuted:
         return m_progress.sends < MaxSends && mayRepeat();
-    case AttemptEnd::Interrupted:
-    case AttemptEnd::ServerError:
+    case AttemptOutcome::Interrupted:
+    case AttemptOutcome::ServerError:
         return m_request.route->mayRunAgain() && m_executions < m_request.route->maxAttempts
                && !m_gateway.poison().isPoison(m_request.digest, dependencies.clock.now())
                && mayRepeat();
-    case AttemptEnd::StreamInterrupted:
+    case AttemptOutcome::StreamInterrupted:
         return m_request.route->mayRunAgain() && !m_events.lastId().empty()
                && m_executions < m_request.route->maxAttempts && mayRepeat();
-    case AttemptEnd::Answered:
-    case AttemptEnd::Cancelled:
+    case AttemptOutcome::Answered:
+    case AttemptOutcome::Cancelled:
         return false;
     }
     return false;
 }
 
-asio::awaitable<RequestRelay::AttemptEnd> RequestRelay::runAttempt()
+asio::awaitable<RequestRelay::AttemptOutcome> RequestRelay::runAttempt()
 {
     ++m_progress.sends;
     m_excluded.insert(m_plan->upstream->report().id);
@@ -204,8 +204,8 @@
         auto &metrics = m_gateway.metrics();
         metrics.promptTokens.add(total, m_request.labels());
         metrics.cachedTokens.add(total - uncached, m_request.labels());
-        metrics.expectedFirst.observe(
-            duration_cast<std::chrono::nanoseconds>(m_plan->engine->expectedFirst),
+        metrics.expectedFirstToken.observe(
+            duration_cast<std::chrono::nanoseconds>(m_plan->engine->expectedFirstToken),
             m_request.labels());
         const auto *service = m_request.configuration->findService(m_plan->service);
         m_plan->upstream->prefixCache().setCapacity(service->engine->cacheTokens);
@@ -215,9 +215,9 @@
                       m_gateway.dependencies().clock.now());
     const auto end = co_await sendToUpstream(load);
     const auto now = m_gateway.dependencies().clock.now();
-    if (end == AttemptEnd::Answered)
+    if (end == AttemptOutcome::Answered)
         m_plan->upstream->noteOutcome(true, now);
-    else if (end != AttemptEnd::Cancelled && end != AttemptEnd::NotExecuted)
+    else if (end != AttemptOutcome::Cancelled && end != AttemptOutcome::NotExecuted)
         m_plan->upstream->noteOutcome(false, now);
     co_return end;
 }
@@ -230,9 +230,9 @@
     dispatch.remainingTime = remainingTime();
     dispatch.tenant = m_request.tenant ? m_request.tenant->name : "";
     dispatch.cacheScope = m_request.cacheScope();
-    dispatch.urgency =
-        urgencyLevel(*m_request.route, m_request.tenant,
-                     m_plan->engine && m_plan->engine->expectedFirst > m_request.route->target);
+    dispatch.urgency = urgencyLevel(
+        *m_request.route, m_request.tenant,
+        m_plan->engine && m_plan->engine->expectedFirstToken > m_request.route->target);
     if (m_plan->engine) {
         // Cached parts are looked up by scope, so including the version of the weights prevents the
         // use of parts that other weights computed, wherever they are cached. The upstream refuses
@@ -256,7 +256,7 @@
                          request.body);
 }
 
-asio::awaitable<RequestRelay::AttemptEnd> RequestRelay::sendToUpstream(UpstreamLoad &load)
+asio::awaitable<RequestRelay::AttemptOutcome> RequestRelay::sendToUpstream(UpstreamLoad &load)
 {
     m_abort = std::make_shared<Http::CallAbort>();
     if (m_cancelReason != CancelReason::None)
@@ -289,8 +289,8 @@
         noteAttempt("not_sent", failure->detail());
         if (!m_isPlanOutdated && m_cancelReason == CancelReason::None)
             noteUnreachable();
-        co_return m_cancelReason == CancelReason::None ? AttemptEnd::NotSent
-                                                       : AttemptEnd::Cancelled;
+        co_return m_cancelReason == CancelReason::None ? AttemptOutcome::NotSent
+                                                       : AttemptOutcome::Cancelled;
     }
     // The upstream may have received part of the request from this point on.
     const bool mayHaveExecutedBefore = std::exchange(m_mayHaveExecuted, true);
@@ -298,20 +298,20 @@
     if (failure)
         co_return noteInterrupted(*failure);
     const auto end = co_await relayAnswer(*answer, load);
-    if (end == AttemptEnd::NotExecuted) {
+    if (end == AttemptOutcome::NotExecuted) {
         m_mayHaveExecuted = mayHaveExecutedBefore;
         --m_executions;
     }
-    if (end != AttemptEnd::Answered && end != AttemptEnd::ServerError
-        && end != AttemptEnd::NotExecuted)
+    if (end != AttemptOutcome::Answered && end != AttemptOutcome::ServerError
+        && end != AttemptOutcome::NotExecuted)
         answer->abort();
     co_return end;
 }
 
-RequestRelay::AttemptEnd RequestRelay::noteInterrupted(const Core::Error &error)
+RequestRelay::AttemptOutcome RequestRelay::noteInterrupted(const Core::Error &error)
 {
     if (m_cancelReason != CancelReason::None)
-        return AttemptEnd::Cancelled;
+        return AttemptOutcome::Cancelled;
     m_hasTimedOut = error.kind() == Core::ErrorKind::UpstreamTimedOut;
     noteAttempt("broken", error.what());
     // Unacknowledged data means that the upstream is unreachable.
@@ -323,11 +323,12 @@
         if (m_gateway.onUpstreamFailure)
             m_gateway.onUpstreamFailure(m_request.digest);
     }
-    return m_exchange.hasStarted() ? AttemptEnd::StreamInterrupted : AttemptEnd::Interrupted;
+    return m_exchange.hasStarted() ? AttemptOutcome::StreamInterrupted
+                                   : AttemptOutcome::Interrupted;
 }
 
-asio::awaitable<RequestRelay::AttemptEnd> RequestRelay::relayAnswer(Http::ClientExchange &answer,
-                                                                    UpstreamLoad &load)
+asio::awaitable<RequestRelay::AttemptOutcome>
+RequestRelay::relayAnswer(Http::ClientExchange &answer, UpstreamLoad &load)
 {
     const auto head = m_gateway.dependencies().dialect.readHead(answer.status(), answer.headers());
     if (!head.attemptId.empty() && head.attemptId != m_request.caller.attemptId) {
@@ -344,7 +345,7 @@
             noteRefusedByUpstream(answer.status(), head);
             // The connection can be reused only after the whole body has been read.
             while (co_await answer.readSome()) { }
-            co_return AttemptEnd::NotExecuted;
+            co_return AttemptOutcome::NotExecuted;
         }
         if (head.weights && *head.weights > m_plan->upstream->weights(m_request.caller.model)) {
             m_plan->upstream->noteWeights(m_request.caller.model, *head.weights);
@@ -398,8 +399,8 @@
         m_gateway.onWeightsMismatch(m_plan->upstream);
 }
 
-asio::awaitable<RequestRelay::AttemptEnd> RequestRelay::relayWhole(Http::ClientExchange &answer,
-                                                                   Http::Headers headers)
+asio::awaitable<RequestRelay::AttemptOutcome> RequestRelay::relayWhole(Http::ClientExchange &answer,
+                                                                       Http::Headers headers)
 {
     Http::Response response(answer.status(), std::move(headers), {});
     while (auto chunk = co_await answer.readSome()) {
@@ -411,19 +412,20 @@
     if (response.status >= 500) {
         noteAttempt("failed", std::to_string(response.status));
         m_errorResponse = std::move(response);
-        co_return m_exchange.hasStarted() ? AttemptEnd::StreamInterrupted : AttemptEnd::ServerError;
+        co_return m_exchange.hasStarted() ? AttemptOutcome::StreamInterrupted
+                                          : AttemptOutcome::ServerError;
     }
     if (m_exchange.hasStarted())
-        co_return AttemptEnd::StreamInterrupted;
+        co_return AttemptOutcome::StreamInterrupted;
     if (m_cancelReason == CancelReason::CallerDisconnected)
-        co_return AttemptEnd::Cancelled;
+        co_return AttemptOutcome::Cancelled;
     m_gateway.metrics().firstByte.observe(m_gateway.dependencies().clock.now() - m_request.arrival,
                                           m_request.labels());
     co_await m_exchange.respond(std::move(response));
-    co_return AttemptEnd::Answered;
+    co_return AttemptOutcome::Answered;
 }
 
-asio::awaitable<RequestRelay::AttemptEnd>
+asio::awaitable<RequestRelay::AttemptOutcome>
 RequestRelay::relayStream(Http::ClientExchange &answer, Http::Headers headers, UpstreamLoad &load)
 {
     m_events.dropPartialEvent();
@@ -443,7 +445,7 @@
     if (!m_exchange.hasStarted())
         co_await m_exchange.startStream(answer.status(), headers);
     co_await m_exchange.finishStream();
-    co_return AttemptEnd::Answered;
+    co_return AttemptOutcome::Answered;
 }
 
 void RequestRelay::noteFirstToken(const UpstreamLoad &load)
@@ -468,14 +470,14 @@
     if (load.isOnlyPrompt())
         m_gateway.engineModel(m_plan->service)
             .addSample(static_cast<unsigned>(load.tokens()), elapsed);
-    const auto expected = m_plan->engine->expectedFirst / m_plan->upstream->slowness();
+    const auto expected = m_plan->engine->expectedFirstToken / m_plan->upstream->slowness();
     if (expected >= MinSlownessSampleTime)
         m_plan->upstream->noteSlowness(elapsed / expected);
 }
 
-asio::awaitable<void> RequestRelay::finish(AttemptEnd end)
+asio::awaitable<void> RequestRelay::finish(AttemptOutcome end)
 {
-    if (end == AttemptEnd::Answered) {
+    if (end == AttemptOutcome::Answered) {
         m_gateway.metrics().requests.add(1, m_request.labels(), "served");
         logServed(m_gateway, m_request, *m_plan, m_progress);
         co_return;
--- a/Libraries/LibGateway/RequestRelay.h
+++ b/Libraries/LibGateway/RequestRelay.h
@@ -32,7 +32,7 @@
 
 private:
     /// The outcome of one attempt.
-    enum class AttemptEnd {
+    enum class AttemptOutcome {
         /// The complete answer was relayed to the caller.
         Answered,
         /// The upstream answered with a server error, which is stored in m_errorResponse.
@@ -60,19 +60,19 @@
     void cancel(CancelReason reason);
     boost::asio::awaitable<void> runAttempts();
     bool mayStillSend();
-    bool mayRetry(AttemptEnd end);
-    boost::asio::awaitable<AttemptEnd> runAttempt();
-    boost::asio::awaitable<AttemptEnd> sendToUpstream(UpstreamLoad &load);
-    boost::asio::awaitable<AttemptEnd> relayAnswer(Http::ClientExchange &answer,
-                                                   UpstreamLoad &load);
-    boost::asio::awaitable<AttemptEnd> relayWhole(Http::ClientExchange &answer,
-                                                  Http::Headers headers);
-    boost::asio::awaitable<AttemptEnd> relayStream(Http::ClientExchange &answer,
-                                                   Http::Headers headers, UpstreamLoad &load);
+    bool mayRetry(AttemptOutcome end);
+    boost::asio::awaitable<AttemptOutcome> runAttempt();
+    boost::asio::awaitable<AttemptOutcome> sendToUpstream(UpstreamLoad &load);
+    boost::asio::awaitable<AttemptOutcome> relayAnswer(Http::ClientExchange &answer,
+                                                       UpstreamLoad &load);
+    boost::asio::awaitable<AttemptOutcome> relayWhole(Http::ClientExchange &answer,
+                                                      Http::Headers headers);
+    boost::asio::awaitable<AttemptOutcome> relayStream(Http::ClientExchange &answer,
+                                                       Http::Headers headers, UpstreamLoad &load);
     void noteFirstToken(const UpstreamLoad &load);
-    AttemptEnd noteInterrupted(const Core::Error &error);
+    AttemptOutcome noteInterrupted(const Core::Error &error);
     Http::Request upstreamRequest() const;
-    boost::asio::awaitable<void> finish(AttemptEnd end);
+    boost::asio::awaitable<void> finish(AttemptOutcome end);
     boost::asio::awaitable<void> refuse(const Refusal &refusal);
     boost::asio::awaitable<void> respondError(Core::ErrorKind kind, const std::string &reason,
                                               std::optional<std::chrono::milliseconds> retryAfter);
--- a/Libraries/LibGateway/UpstreamChooser.cpp
+++ b/Libraries/LibGateway/UpstreamChooser.cpp
@@ -119,7 +119,7 @@
     }
     const auto tokens =
         engine->tokensAhead(demand.isUrgent) + demand.promptTokens - choice.readyTokens;
-    choice.expectedFirst =
+    choice.expectedFirstToken =
         engine->slowness() * model.firstToken(tokens) + fetch + memoryWait(*engine, demand);
     return choice;
 }
@@ -149,7 +149,7 @@
 {
     const auto &upstream = *choice.upstream;
     const double rate = model.tokensPerMillisecond();
-    auto sum = choice.expectedFirst
+    auto sum = choice.expectedFirstToken
                + PrefillDelayWeight * upstream.slowness()
                      * Milliseconds((demand.promptTokens - choice.readyTokens) / rate);
     sum += upstream.failureShare(limits.now) * FailureCost;
@@ -200,8 +200,8 @@
     return best;
 }
 
-std::shared_ptr<Upstream> chooseService(const UpstreamFleet::Members &members,
-                                        const ChoiceLimits &limits, std::minstd_rand &random)
+std::shared_ptr<Upstream> chooseLeastLoaded(const UpstreamFleet::Members &members,
+                                            const ChoiceLimits &limits, std::minstd_rand &random)
 {
     std::vector<std::shared_ptr<Upstream>> candidates;
     for (const auto &member : members) {
--- a/Libraries/LibGateway/UpstreamChooser.h
+++ b/Libraries/LibGateway/UpstreamChooser.h
@@ -64,7 +64,7 @@
     bool isSpeculative = false;
     /// Leading tokens that are not expected to need prefill, including fetched ones.
     unsigned readyTokens = 0;
-    EngineModel::Milliseconds expectedFirst {0};
+    EngineModel::Milliseconds expectedFirstToken {0};
 };
 
 /// Chooses the engine with the lowest cost: the expected time to the first token, plus the delay
@@ -78,8 +78,8 @@
                                          const ChoiceLimits &limits);
 
 /// Chooses the upstream with the lowest load and failure share; ties are broken at random.
-std::shared_ptr<Upstream> chooseService(const UpstreamFleet::Members &members,
-                                        const ChoiceLimits &limits, std::minstd_rand &random);
+std::shared_ptr<Upstream> chooseLeastLoaded(const UpstreamFleet::Members &members,
+                                            const ChoiceLimits &limits, std::minstd_rand &random);
 
 /// Returns whether the upstream may receive new requests.
 bool mayReceiveRequests(const Upstream &upstream, const ChoiceLimits &limits);
--- a/Libraries/LibGateway/WeightsRollout.cpp
+++ b/Libraries/LibGateway/WeightsRollout.cpp
@@ -34,7 +34,7 @@
 constexpr auto FailureBackOff = 1'000ms;
 // At most the total divided by this loads weights at a time. More would leave too few engines to
 // serve requests.
-constexpr std::size_t RollingDivisor = 2;
+constexpr std::size_t ConcurrencyDivisor = 2;
 
 } // namespace
 
@@ -50,7 +50,7 @@
         for (const auto &[id, engine] : m_dependencies.fleet.all()) {
             const auto known = engine->weights(model);
             if (known == 0 || known >= target.version || engine->report().isDraining
-                || m_isRolling.contains(id))
+                || m_isUpdating.contains(id))
                 continue;
             const auto it = m_notBefore.find(id);
             if (it == m_notBefore.end() || it->second <= now)
@@ -73,7 +73,7 @@
     for (;;) {
         co_await sleepFor(IdleInterval);
         auto pending = tasks();
-        if (pending.empty() && m_running == 0)
+        if (pending.empty() && m_runningUpdates == 0)
             continue;
         const auto targetSince =
             pending.empty() ? m_dependencies.clock.now() : pending.front().since;
@@ -83,13 +83,13 @@
         std::size_t engines = 0;
         for (const auto &[id, engine] : m_dependencies.fleet.all())
             engines += engine->report().weights.empty() ? 0 : 1;
-        const auto maxRunning = std::max<std::size_t>(1, engines / RollingDivisor);
+        const auto maxUpdates = std::max<std::size_t>(1, engines / ConcurrencyDivisor);
         for (auto &task : pending) {
-            if (m_running >= maxRunning)
+            if (m_runningUpdates >= maxUpdates)
                 break;
-            ++m_running;
-            m_isRolling[task.engine->report().id] = true;
-            asio::co_spawn(co_await asio::this_coro::executor, roll(std::move(task)),
+            ++m_runningUpdates;
+            m_isUpdating[task.engine->report().id] = true;
+            asio::co_spawn(co_await asio::this_coro::executor, updateEngine(std::move(task)),
                            asio::detached);
         }
     }
@@ -114,7 +114,7 @@
     co_return co_await m_dependencies.journal.takeLease();
 }
 
-asio::awaitable<void> WeightsRollout::roll(Task task)
+asio::awaitable<void> WeightsRollout::updateEngine(Task task)
 {
     std::string failure;
     try {
@@ -134,8 +134,8 @@
     task.engine->pauseUntil(Core::Clock::Monotonic::min());
     if (onPause)
         onPause(*task.engine, 0ms);
-    m_isRolling.erase(id);
-    --m_running;
+    m_isUpdating.erase(id);
+    --m_runningUpdates;
 }
 
 asio::awaitable<EngineState> WeightsRollout::stateOf(Upstream &engine)
@@ -223,8 +223,8 @@
 std::chrono::milliseconds WeightsRollout::timeUntilStarted(const Upstream &engine) const
 {
     const auto tokens = engine.tokensAhead(false);
-    const auto prefillTime = m_dependencies.expectedFirst
-                                 ? m_dependencies.expectedFirst(engine, tokens)
+    const auto prefillTime = m_dependencies.expectedFirstToken
+                                 ? m_dependencies.expectedFirstToken(engine, tokens)
                                  : EngineModel::Milliseconds(0);
     return std::clamp(std::chrono::ceil<std::chrono::milliseconds>(prefillTime), MinPauseNotice,
                       MaxPauseNotice);
--- a/Libraries/LibGateway/WeightsRollout.h
+++ b/Libraries/LibGateway/WeightsRollout.h
@@ -29,7 +29,7 @@
         Core::InstanceId self;
         /// Estimates the time until the upstream has prefilled this many tokens; may be empty.
         std::function<EngineModel::Milliseconds(const Upstream &, std::uint64_t tokens)>
-            expectedFirst;
+            expectedFirstToken;
     };
 
     explicit WeightsRollout(Dependencies dependencies);
@@ -61,7 +61,7 @@
     std::vector<Task> tasks() const;
     bool isTurn(Core::Clock::Monotonic targetSince) const;
     boost::asio::awaitable<bool> ensureLease(Core::Clock::Monotonic targetSince);
-    boost::asio::awaitable<void> roll(Task task);
+    boost::asio::awaitable<void> updateEngine(Task task);
     boost::asio::awaitable<bool> sendOrder(const Task &task);
     /// Estimates the time until all queued requests have started at the engine.
     std::chrono::milliseconds timeUntilStarted(const Upstream &engine) const;
@@ -75,8 +75,8 @@
     /// The number of orders that each engine is known to have accepted; its last reported count may
     /// be older.
     std::map<Core::UpstreamId, std::uint64_t> m_acceptedOrders;
-    std::size_t m_running = 0;
-    std::map<Core::UpstreamId, bool> m_isRolling;
+    std::size_t m_runningUpdates = 0;
+    std::map<Core::UpstreamId, bool> m_isUpdating;
     std::map<Core::UpstreamId, bool> m_isRefreshing;
 };
 
--- a/Tests/LibGateway/TestPlacement.cpp
+++ b/Tests/LibGateway/TestPlacement.cpp
@@ -184,9 +184,9 @@
     Fixture fixture;
     for (const auto &member : fixture.fleet.members("llm"))
         member->noteSent(50'000, false);
-    const auto notUrgent = fixture.choose()->expectedFirst;
+    const auto notUrgent = fixture.choose()->expectedFirstToken;
     fixture.demand.isUrgent = true;
-    const auto urgent = fixture.choose()->expectedFirst;
+    const auto urgent = fixture.choose()->expectedFirstToken;
     CHECK(urgent < notUrgent / 2);
 }
 
@@ -215,7 +215,8 @@
     std::minstd_rand random(1);
     std::map<std::string, int> counts;
     for (int n = 0; n < 60; ++n) {
-        const auto upstream = chooseService(fixture.fleet.members("llm"), fixture.limits, random);
+        const auto upstream =
+            chooseLeastLoaded(fixture.fleet.members("llm"), fixture.limits, random);
         upstream->noteSent(0, false);
         ++counts[upstream->report().id.value()];
     }
@@ -224,7 +225,7 @@
     fixture.engine("w3").noteOutcome(false, fixture.limits.now);
     fixture.limits.maxInFlight = 100;
     for (int n = 0; n < 20; ++n)
-        CHECK(chooseService(fixture.fleet.members("llm"), fixture.limits, random)->report().id
+        CHECK(chooseLeastLoaded(fixture.fleet.members("llm"), fixture.limits, random)->report().id
               != Core::UpstreamId("w3"));
 }
 
