--- a/Libraries/LibGateway/UpstreamChooser.cpp
+++ b/Libraries/LibGateway/UpstreamChooser.cpp
@@ -63,7 +63,7 @@
     unsigned tokens = 0;
 };
 
-/// Returns the best holder for each version of the weights.
+/// Returns the engine with the most cached tokens for each version of the weights.
 std::map<std::uint64_t, BestCache> findBestCaches(const UpstreamFleet::Members &members,
                                                   const EngineDemand &demand,
                                                   const ChoiceLimits &limits)
--- a/Libraries/LibGateway/WeightsRollout.cpp
+++ b/Libraries/LibGateway/WeightsRollout.cpp
@@ -26,14 +26,15 @@
 // An engine refuses requests while it executes an order, so it is paused, and the requests sent
 // before the order are started first.
 constexpr auto PauseTime = 2'500ms;
-// Time for requests that siblings sent before they received the pause to start at the engine.
+// Bounds on the wait before an order, in which requests that siblings sent before they received the
+// pause start at the engine.
 constexpr std::chrono::milliseconds MinPauseNotice = 20ms;
 constexpr std::chrono::milliseconds MaxPauseNotice = 300ms;
 constexpr auto MaxOrderTime = 3'000ms;
 constexpr auto ConflictBackOff = 250ms;
 constexpr auto FailureBackOff = 1'000ms;
-// At most the total divided by this loads weights at a time. More would leave too few engines to
-// serve requests.
+// At most the number of engines divided by this load weights at the same time. More would leave too
+// few engines to serve requests.
 constexpr std::size_t ConcurrencyDivisor = 2;
 
 } // namespace
