--- a/Libraries/LibGateway/RequestPlan.cpp
+++ b/Libraries/LibGateway/RequestPlan.cpp
@@ -80,10 +80,10 @@
     const auto waitLimit = std::min<EngineModel::Milliseconds>(
         maxTargets * EngineModel::Milliseconds(route.target),
         FirstTokenShare * EngineModel::Milliseconds(request.remainingTime(now)));
-    if (choice.expectedFirst <= waitLimit)
+    if (choice.expectedFirstToken <= waitLimit)
         return std::nullopt;
-    const auto retryAfter = choice.expectedFirst - route.target;
-    const auto expected = static_cast<std::uint64_t>(choice.expectedFirst.count());
+    const auto retryAfter = choice.expectedFirstToken - route.target;
+    const auto expected = static_cast<std::uint64_t>(choice.expectedFirstToken.count());
     return Refusal {Core::ErrorKind::Overloaded,
                     "the expected time to the first token, " + std::to_string(expected)
                         + " ms, is too long",
@@ -146,8 +146,7 @@
                                                const std::set<Core::UpstreamId> &excluded)
 {
     if (request.route->services.empty())
-        return Refusal {
-            Core::ErrorKind::NoUpstream, "route " + request.route->name + " has no services", {}};
+        return Refusal {Core::ErrorKind::NoUpstream, "the route has no services", {}};
     const auto name = pickService(gateway, *request.route);
     const auto *service = request.configuration->findService(name);
     if (!service)
@@ -163,7 +162,7 @@
     RequestPlan plan;
     plan.service = name;
     plan.upstream =
-        chooseService(gateway.dependencies().fleet.members(name), limits, gateway.random());
+        chooseLeastLoaded(gateway.dependencies().fleet.members(name), limits, gateway.random());
     if (!plan.upstream)
         return Refusal {Core::ErrorKind::NoUpstream,
                         "no upstream of service " + name + " accepts requests", ShortRetryAfter};
