--- a/Libraries/LibGateway/FleetLog.h
+++ b/Libraries/LibGateway/FleetLog.h
@@ -39,8 +39,8 @@
 {
     /// The offset of the next read.
     std::uint64_t next = 0;
-    /// Whether records at the requested offset were removed from the log, so that the reader has to
-    /// start again with newest().
+    /// Whether records at the requested offset were already removed from the log, so that the
+    /// reader has missed some and has to start again.
     bool isHistoryTruncated = false;
     /// Whether the page reaches the end of the log.
     bool isComplete = true;
--- a/Libraries/LibGateway/FleetWatcher.h
+++ b/Libraries/LibGateway/FleetWatcher.h
@@ -40,13 +40,13 @@
     /// Reads the upstreams' records until the process ends.
     boost::asio::awaitable<void> watchUpstreams();
 
-    /// Apply records that were read from the store. Public for tests.
+    /// Applies a record that was read from the store. Public for tests.
     void applyOperator(const FleetRecord &record);
     void applyUpstream(const FleetRecord &record);
     /// Removes the upstreams whose entries disappeared around a store failure and were not restored
     /// within the grace time.
     void applyPendingRemovals();
-    /// Records whether the store or a sibling answered a read of the topic.
+    /// Records whether the store or a sibling answered the last read of a topic.
     void noteStoreStatus(FleetTopic topic, bool isAnswering, const std::string &reason);
     /// Records when the store last failed to answer the instance that read a page.
     void noteStoreFailure(Core::Clock::Monotonic time);
--- a/Libraries/LibGateway/GatewaySettings.h
+++ b/Libraries/LibGateway/GatewaySettings.h
@@ -27,7 +27,7 @@
     std::chrono::milliseconds revocationBound {5'000};
     /// The time within which a new configuration takes effect at all instances.
     std::chrono::milliseconds configurationBound {2'000};
-    /// The time within which requests are no longer sent to an upstream that reports draining.
+    /// The time after which no requests are sent to an upstream that has reported draining.
     std::chrono::milliseconds drainBound {2'000};
     /// The time within which requests start on new target weights.
     std::chrono::milliseconds weightsBound {6'000};
--- a/Libraries/LibGateway/LogTail.h
+++ b/Libraries/LibGateway/LogTail.h
@@ -22,7 +22,7 @@
     /// Appends a page that was read from the given offset on.
     void extend(std::uint64_t from, const FleetPage &page);
 
-    /// Returns whether it holds all known records from the offset on.
+    /// Returns whether the tail holds all known records from the offset on.
     bool covers(std::uint64_t from) const
     {
         return m_isStarted && from >= m_first && m_asOf != Core::Clock::Monotonic::min();
