--- a/Libraries/LibConfiguration/ConfigurationHistory.cpp
+++ b/Libraries/LibConfiguration/ConfigurationHistory.cpp
@@ -25,7 +25,7 @@
     , m_current(std::make_shared<const ConfigurationVersion>())
 { }
 
-std::vector<HistoryEntry> ConfigurationHistory::take(const Platform::LogPage &page)
+std::vector<HistoryEntry> ConfigurationHistory::processPage(const Platform::LogPage &page)
 {
     noteGap(page);
     m_halted = false;
@@ -33,7 +33,7 @@
     for (const auto &it : page.records) {
         if (it.offset != m_next)
             continue;
-        entries.push_back(judge(it, page.first));
+        entries.push_back(evaluate(it, page.first));
         if (m_halted || entries.back().verdict == Verdict::Anchored)
             break;
     }
@@ -44,14 +44,14 @@
 ConfigurationHistory::renewalTime(std::string_view instance,
                                   std::chrono::milliseconds interval) const
 {
-    if (!m_anchored || m_halted || m_current->generation == 0 || m_times.empty())
+    if (!m_anchored || m_halted || m_current->generation == 0 || m_recordTimes.empty())
         return std::nullopt;
     // The newest whole copy serves until the record at its foldedTo is dropped, so that record's
     // age is what counts.
     constexpr std::uint64_t Steps = 1'024;
     const auto step = static_cast<std::int64_t>(Core::hash64(instance, m_copyFoldedTo) % Steps);
     const auto delay = interval / 2 * step / static_cast<std::int64_t>(Steps);
-    return m_times.front().time + interval + delay;
+    return m_recordTimes.front().time + interval + delay;
 }
 
 Renewal ConfigurationHistory::renewal(std::string renewer) const
@@ -71,11 +71,11 @@
         return;
     m_next = page.first;
     m_anchored = false;
-    m_times.clear();
+    m_recordTimes.clear();
 }
 
-HistoryEntry ConfigurationHistory::judge(const Platform::LogRecord &record,
-                                         Platform::LogOffset first)
+HistoryEntry ConfigurationHistory::evaluate(const Platform::LogRecord &record,
+                                            Platform::LogOffset first)
 {
     HistoryEntry entry {.offset = record.offset};
     const auto decoded = decodeRecord(m_environment, record.data);
@@ -90,24 +90,25 @@
     if (!decoded.has_value())
         entry.detail = decoded.assume_error().detail();
     else if (!m_anchored && renewal)
-        seekAnchor(*renewal, record, first, entry);
+        restoreFromRenewal(*renewal, record, first, entry);
     else if (!m_anchored)
         entry.verdict = Verdict::Skipped;
     else if (publication)
-        judgePublication(*publication, record, entry);
+        evaluatePublication(*publication, record, entry);
     else
-        judgeRenewal(*renewal, record, entry);
+        evaluateRenewal(*renewal, record, entry);
     entry.generation = m_current->generation;
     if (m_halted || entry.verdict == Verdict::Anchored)
         return entry;
     m_next = record.offset + 1;
     if (m_anchored)
-        noteTime(record);
+        noteRecordTime(record);
     return entry;
 }
 
-void ConfigurationHistory::judgePublication(const Publication &publication,
-                                            const Platform::LogRecord &record, HistoryEntry &entry)
+void ConfigurationHistory::evaluatePublication(const Publication &publication,
+                                               const Platform::LogRecord &record,
+                                               HistoryEntry &entry)
 {
     entry.verdict = Verdict::LostRace;
     if (publication.replaces != m_current->generation) {
@@ -141,8 +142,8 @@
            entry);
 }
 
-void ConfigurationHistory::judgeRenewal(const Renewal &renewal, const Platform::LogRecord &record,
-                                        HistoryEntry &entry)
+void ConfigurationHistory::evaluateRenewal(const Renewal &renewal,
+                                           const Platform::LogRecord &record, HistoryEntry &entry)
 {
     entry.verdict = Verdict::Renewed;
     const bool isCopy =
@@ -152,12 +153,13 @@
         return;
     }
     m_copyFoldedTo = renewal.foldedTo;
-    while (!m_times.empty() && m_times.front().offset < m_copyFoldedTo)
-        m_times.pop_front();
+    while (!m_recordTimes.empty() && m_recordTimes.front().offset < m_copyFoldedTo)
+        m_recordTimes.pop_front();
 }
 
-void ConfigurationHistory::seekAnchor(const Renewal &renewal, const Platform::LogRecord &record,
-                                      Platform::LogOffset first, HistoryEntry &entry)
+void ConfigurationHistory::restoreFromRenewal(const Renewal &renewal,
+                                              const Platform::LogRecord &record,
+                                              Platform::LogOffset first, HistoryEntry &entry)
 {
     entry.verdict = Verdict::Skipped;
     // A renewal whose writer was paused may stand after publications that it does not know of. It
@@ -199,10 +201,10 @@
            entry);
 }
 
-void ConfigurationHistory::noteTime(const Platform::LogRecord &record)
+void ConfigurationHistory::noteRecordTime(const Platform::LogRecord &record)
 {
     if (record.offset >= m_copyFoldedTo)
-        m_times.push_back({record.offset, record.time});
+        m_recordTimes.push_back({record.offset, record.time});
 }
 
 void ConfigurationHistory::accept(ConfigurationVersion version, HistoryEntry &entry)
--- a/Libraries/LibConfiguration/ConfigurationHistory.h
+++ b/Libraries/LibConfiguration/ConfigurationHistory.h
@@ -69,9 +69,9 @@
     /// The log stream to read.
     std::string stream() const { return configurationStream(m_environment); }
     /// The offset to read from next. It moves back when a renewal after a gap is found.
-    Platform::LogOffset wanted() const { return m_next; }
+    Platform::LogOffset nextOffset() const { return m_next; }
     /// Judges the records of a page that was read from wanted() on.
-    std::vector<HistoryEntry> take(const Platform::LogPage &page);
+    std::vector<HistoryEntry> processPage(const Platform::LogPage &page);
 
     /// The version in force by the log; generation 0 before the first.
     const ConfigurationVersionPointer &current() const { return m_current; }
@@ -96,14 +96,14 @@
     };
 
     void noteGap(const Platform::LogPage &page);
-    HistoryEntry judge(const Platform::LogRecord &record, Platform::LogOffset first);
-    void judgePublication(const Publication &publication, const Platform::LogRecord &record,
-                          HistoryEntry &entry);
-    void judgeRenewal(const Renewal &renewal, const Platform::LogRecord &record,
-                      HistoryEntry &entry);
-    void seekAnchor(const Renewal &renewal, const Platform::LogRecord &record,
-                    Platform::LogOffset first, HistoryEntry &entry);
-    void noteTime(const Platform::LogRecord &record);
+    HistoryEntry evaluate(const Platform::LogRecord &record, Platform::LogOffset first);
+    void evaluatePublication(const Publication &publication, const Platform::LogRecord &record,
+                             HistoryEntry &entry);
+    void evaluateRenewal(const Renewal &renewal, const Platform::LogRecord &record,
+                         HistoryEntry &entry);
+    void restoreFromRenewal(const Renewal &renewal, const Platform::LogRecord &record,
+                            Platform::LogOffset first, HistoryEntry &entry);
+    void noteRecordTime(const Platform::LogRecord &record);
     /// Puts the version in force and into the entry.
     void accept(ConfigurationVersion version, HistoryEntry &entry);
 
@@ -115,7 +115,7 @@
     /// The offset up to which the newest whole copy stands for the records before it.
     Platform::LogOffset m_copyFoldedTo = 0;
     /// The times of the records from m_copyFoldedTo on.
-    std::deque<TimedOffset> m_times;
+    std::deque<TimedOffset> m_recordTimes;
 };
 
 } // namespace Configuration
--- a/Libraries/LibConfiguration/ConfigurationReader.cpp
+++ b/Libraries/LibConfiguration/ConfigurationReader.cpp
@@ -31,7 +31,7 @@
     , m_random(random)
     , m_hooks(std::move(hooks))
     , m_history(m_options.environment)
-    , m_retry(m_options.firstRetry, m_options.longestRetry)
+    , m_retry(m_options.firstRetry, m_options.maxRetryDelay)
     , m_current(std::make_shared<const ConfigurationVersion>())
 { }
 
@@ -77,19 +77,19 @@
                                   .document = std::move(parsed.assume_value()),
                                   .recordedAt = m_clock.wallNow()};
     version.bytes = std::move(bytes);
-    return putInForce(std::make_shared<const ConfigurationVersion>(std::move(version)), false);
+    return activate(std::make_shared<const ConfigurationVersion>(std::move(version)), false);
 }
 
 asio::awaitable<void> ConfigurationReader::readOnce()
 {
     // A read that starts at the end waits there for the next record.
-    const auto page = co_await m_log.read(m_history.stream(), m_history.wanted(),
+    const auto page = co_await m_log.read(m_history.stream(), m_history.nextOffset(),
                                           m_options.pageRecords, m_options.readWait);
     ++m_counters.reads;
     m_counters.records += page.records.size();
-    for (const auto &it : m_history.take(page))
+    for (const auto &it : m_history.processPage(page))
         apply(it);
-    m_caughtUp = m_history.wanted() >= page.next;
+    m_caughtUp = m_history.nextOffset() >= page.next;
 }
 
 asio::awaitable<void> ConfigurationReader::renewIfDue()
@@ -120,7 +120,7 @@
 void ConfigurationReader::apply(const HistoryEntry &entry)
 {
     if (entry.version)
-        putInForce(entry.version, true);
+        activate(entry.version, true);
     if (!isRefusal(entry.verdict))
         return;
     Core::logEvent(Core::EventId::ConfigurationRefused,
@@ -131,14 +131,14 @@
     m_hooks.onRefused(entry);
 }
 
-bool ConfigurationReader::putInForce(ConfigurationVersionPointer version, bool fromLog)
+bool ConfigurationReader::activate(ConfigurationVersionPointer version, bool fromLog)
 {
     // The hook runs under the lock, or a slower thread could announce an older version last.
-    std::scoped_lock lock(m_writer);
-    const auto held = m_current.share();
+    std::scoped_lock lock(m_activationMutex);
+    const auto active = m_current.share();
     const bool corrects =
-        fromLog && version->generation == held->generation && version->digest != held->digest;
-    if (version->generation <= held->generation && !corrects)
+        fromLog && version->generation == active->generation && version->digest != active->digest;
+    if (version->generation <= active->generation && !corrects)
         return false;
     m_current.replace(version);
     m_generation.store(version->generation, std::memory_order_release);
@@ -154,7 +154,7 @@
 void ConfigurationReader::noteFailure(const std::string &detail)
 {
     ++m_counters.failures;
-    if (!std::exchange(m_isOut, true))
+    if (!std::exchange(m_isLogUnavailable, true))
         Core::logEvent(Core::EventId::PlatformUnavailable,
                        {{"stream", m_history.stream()}, {"detail", detail}});
 }
@@ -162,7 +162,7 @@
 void ConfigurationReader::noteSuccess()
 {
     m_retry.reset();
-    if (std::exchange(m_isOut, false))
+    if (std::exchange(m_isLogUnavailable, false))
         Core::logEvent(Core::EventId::PlatformBack, {{"stream", m_history.stream()}});
 }
 
--- a/Libraries/LibConfiguration/ConfigurationReader.h
+++ b/Libraries/LibConfiguration/ConfigurationReader.h
@@ -31,7 +31,7 @@
     /// How long one read waits for a record.
     std::chrono::milliseconds readWait = std::chrono::seconds(5);
     std::chrono::milliseconds firstRetry = std::chrono::milliseconds(100);
-    std::chrono::milliseconds longestRetry = std::chrono::seconds(2);
+    std::chrono::milliseconds maxRetryDelay = std::chrono::seconds(2);
     std::size_t pageRecords = 64;
 };
 
@@ -90,7 +90,7 @@
     boost::asio::awaitable<void> renewIfDue();
     boost::asio::awaitable<void> pause(std::chrono::milliseconds time);
     void apply(const HistoryEntry &entry);
-    bool putInForce(ConfigurationVersionPointer version, bool fromLog);
+    bool activate(ConfigurationVersionPointer version, bool fromLog);
     void noteFailure(const std::string &detail);
     void noteSuccess();
 
@@ -103,10 +103,10 @@
     RetryDelay m_retry;
     boost::asio::steady_timer *m_timer = nullptr;
     bool m_caughtUp = false;
-    bool m_isOut = false;
+    bool m_isLogUnavailable = false;
     std::optional<Core::Clock::Monotonic> m_lastRenewal;
     std::atomic<bool> m_stopping {false};
-    std::mutex m_writer;
+    std::mutex m_activationMutex;
     Core::Snapshot<ConfigurationVersion> m_current;
     std::atomic<Generation> m_generation {0};
     ReaderCounters m_counters;
--- a/Libraries/LibConfiguration/CrossReferences.cpp
+++ b/Libraries/LibConfiguration/CrossReferences.cpp
@@ -40,8 +40,9 @@
         checkNames();
         checkKeyHashes();
         checkFloors();
-        checkServedGroups(m_contents.models, UpstreamKind::Engine, "must name an engine group");
-        checkServedGroups(m_contents.services, UpstreamKind::Service, "must name a service group");
+        checkGroupReferences(m_contents.models, UpstreamKind::Engine, "must name an engine group");
+        checkGroupReferences(m_contents.services, UpstreamKind::Service,
+                             "must name a service group");
         checkContracts();
         checkOwnedShares();
     }
@@ -86,14 +87,15 @@
     }
 
     template <typename Value>
-    void checkServedGroups(const LocatedList<Value> &list, UpstreamKind kind, const char *message)
+    void checkGroupReferences(const LocatedList<Value> &list, UpstreamKind kind,
+                              const char *message)
     {
         for (std::size_t n = 0; n < list.values.size(); ++n) {
             const auto &group = list.values[n].upstreamGroup;
             const auto found = m_groups.find(group);
             if (found == m_groups.end() || found->second != kind)
                 list.sources[n].addFault("upstream_group", message);
-            else if (!m_served.insert(group).second)
+            else if (!m_referencedGroups.insert(group).second)
                 list.sources[n].addFault("upstream_group", "already serves another");
         }
     }
@@ -135,7 +137,7 @@
     std::unordered_map<Core::UpstreamGroupId, UpstreamKind> m_groups;
     std::unordered_set<Core::PriorityClassId> m_classes;
     std::unordered_set<Core::TeamId> m_teams;
-    std::unordered_set<Core::UpstreamGroupId> m_served;
+    std::unordered_set<Core::UpstreamGroupId> m_referencedGroups;
 };
 
 } // namespace
--- a/Libraries/LibConfiguration/DocumentParser.cpp
+++ b/Libraries/LibConfiguration/DocumentParser.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t MaximumDocumentBytes = 8 * 1024 * 1024;
+constexpr std::size_t MaxDocumentBytes = 8 * 1024 * 1024;
 constexpr std::int64_t KnownFormat = 1;
 
 Limits readLimits(const TableReader &table)
@@ -97,11 +97,11 @@
     };
     for (const auto &it : table.tables("route")) {
         auto route = readRoute(it);
-        const bool again = std::any_of(
+        const bool isDuplicate = std::any_of(
             service.routes.begin(), service.routes.end(), [&](const ServiceRoute &other) {
                 return other.method == route.method && other.pathPrefix == route.pathPrefix;
             });
-        if (again)
+        if (isDuplicate)
             it.addFault("path_prefix", "stands twice with the same method");
         service.routes.push_back(std::move(route));
     }
@@ -214,7 +214,7 @@
 ParsedDocument parseDocument(std::string_view text)
 {
     ParsedDocument parsed;
-    if (text.size() > MaximumDocumentBytes) {
+    if (text.size() > MaxDocumentBytes) {
         parsed.faults.push_back({1, 1, {}, "is larger than 8 MiB"});
         return parsed;
     }
--- a/Libraries/LibConfiguration/NestingCheck.cpp
+++ b/Libraries/LibConfiguration/NestingCheck.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-constexpr int MaximumBrackets = 16;
-constexpr int MaximumDotsPerLine = 32;
+constexpr int MaxBrackets = 16;
+constexpr int MaxDotsPerLine = 32;
 
 /// Walks over the text outside strings and comments and counts brackets and dots.
 class NestingScanner
@@ -19,7 +19,7 @@
     {
         while (m_position < m_text.size()) {
             step();
-            if (m_brackets > MaximumBrackets || m_dots > MaximumDotsPerLine)
+            if (m_brackets > MaxBrackets || m_dots > MaxDotsPerLine)
                 return Fault {m_line, column(), {}, "nested too deep"};
         }
         return std::nullopt;
@@ -65,9 +65,9 @@
 
     void skipString(char quote)
     {
-        const std::string_view three = m_text.substr(m_position, 3);
-        if (three.size() == 3 && three == std::string(3, quote)) {
-            skipMultiLineString(three);
+        const std::string_view tripleQuote = m_text.substr(m_position, 3);
+        if (tripleQuote.size() == 3 && tripleQuote == std::string(3, quote)) {
+            skipMultiLineString(tripleQuote);
             return;
         }
         ++m_position;
--- a/Libraries/LibConfiguration/PlainService.cpp
+++ b/Libraries/LibConfiguration/PlainService.cpp
@@ -18,12 +18,13 @@
 
 bool isUnambiguous(std::string_view path)
 {
-    constexpr std::array<std::string_view, 7> Traps = {"//",  "/./", "/../", "%2e",
-                                                       "%2f", "%5c", "\\"};
+    constexpr std::array<std::string_view, 7> AmbiguousSequences = {"//",  "/./", "/../", "%2e",
+                                                                    "%2f", "%5c", "\\"};
     if (path.empty() || path.front() != '/' || path.ends_with("/.") || path.ends_with("/.."))
         return false;
-    return std::none_of(Traps.begin(), Traps.end(),
-                        [path](std::string_view trap) { return containsIgnoringCase(path, trap); });
+    return std::none_of(
+        AmbiguousSequences.begin(), AmbiguousSequences.end(),
+        [path](std::string_view sequence) { return containsIgnoringCase(path, sequence); });
 }
 
 bool matchesWholeSegments(std::string_view prefix, std::string_view path)
--- a/Libraries/LibConfiguration/Publisher.cpp
+++ b/Libraries/LibConfiguration/Publisher.cpp
@@ -66,8 +66,8 @@
 
 asio::awaitable<void> Publisher::readHistory(ConfigurationHistory &history, Visitor visitor)
 {
-    const auto deadline = m_clock.now() + m_options.patience;
-    RetryDelay delay(m_options.firstRetry, m_options.longestRetry);
+    const auto deadline = m_clock.now() + m_options.timeout;
+    RetryDelay delay(m_options.firstRetry, m_options.maxRetryDelay);
     for (;;) {
         try {
             co_await readToEnd(history, visitor);
@@ -93,16 +93,16 @@
     const auto record = encodeRecord(history.environment(), publication);
     PublishOutcome outcome;
     bool decided = false;
-    const auto look = [&](const HistoryEntry &entry) {
+    const auto observe = [&](const HistoryEntry &entry) {
         const bool isOurs = entry.publicationId == publication.publicationId;
-        const bool isLate = entry.version && entry.generation > publication.replaces;
-        if (decided || (!isOurs && !isLate))
+        const bool isSuperseded = entry.version && entry.generation > publication.replaces;
+        if (decided || (!isOurs && !isSuperseded))
             return;
         decided = true;
         outcome.result = resultOf(entry, publication);
         outcome.publisher = entry.publisher;
     };
-    co_await appendUntil(decided, history, record, look);
+    co_await appendUntil(decided, history, record, observe);
     outcome.generation = history.current()->generation;
     outcome.digest = history.current()->digest;
     co_return outcome;
@@ -120,15 +120,15 @@
     const ConfigurationRecord renewal = Renewal {
         .generation = generation,
         .digest = Core::sha256Hex(request.bytes),
-        .foldedTo = history.wanted(),
+        .foldedTo = history.nextOffset(),
         .renewer = request.publisher,
         .document = request.bytes,
     };
     bool decided = false;
-    const auto look = [&](const HistoryEntry &entry) {
+    const auto observe = [&](const HistoryEntry &entry) {
         decided |= entry.verdict == Verdict::Anchored;
     };
-    co_await appendUntil(decided, history, encodeRecord(history.environment(), renewal), look);
+    co_await appendUntil(decided, history, encodeRecord(history.environment(), renewal), observe);
     PublishOutcome outcome;
     outcome.generation = history.current()->generation;
     outcome.digest = history.current()->digest;
@@ -139,10 +139,10 @@
 }
 
 asio::awaitable<void> Publisher::appendUntil(const bool &decided, ConfigurationHistory &history,
-                                             std::string record, const Visitor &look)
+                                             std::string record, const Visitor &observe)
 {
-    const auto deadline = m_clock.now() + m_options.patience;
-    RetryDelay delay(m_options.firstRetry, m_options.longestRetry);
+    const auto deadline = m_clock.now() + m_options.timeout;
+    RetryDelay delay(m_options.firstRetry, m_options.maxRetryDelay);
     while (!decided) {
         bool failed = false;
         try {
@@ -152,7 +152,7 @@
             failed = true;
         }
         try {
-            co_await readToEnd(history, look);
+            co_await readToEnd(history, observe);
         } catch (const Core::Error &) {
             failed = true;
         }
@@ -169,11 +169,11 @@
 asio::awaitable<void> Publisher::readToEnd(ConfigurationHistory &history, const Visitor &visitor)
 {
     for (;;) {
-        const auto page = co_await m_log.read(history.stream(), history.wanted(), PageRecords,
+        const auto page = co_await m_log.read(history.stream(), history.nextOffset(), PageRecords,
                                               std::chrono::milliseconds(0));
-        for (const auto &it : history.take(page))
+        for (const auto &it : history.processPage(page))
             visitor(it);
-        if (history.wanted() >= page.next || history.isHalted())
+        if (history.nextOffset() >= page.next || history.isHalted())
             co_return;
     }
 }
--- a/Libraries/LibConfiguration/Publisher.h
+++ b/Libraries/LibConfiguration/Publisher.h
@@ -53,9 +53,9 @@
     struct Options
     {
         /// How long to try before the outcome is given up as unknown.
-        std::chrono::milliseconds patience = std::chrono::seconds(30);
+        std::chrono::milliseconds timeout = std::chrono::seconds(30);
         std::chrono::milliseconds firstRetry = std::chrono::milliseconds(100);
-        std::chrono::milliseconds longestRetry = std::chrono::seconds(2);
+        std::chrono::milliseconds maxRetryDelay = std::chrono::seconds(2);
     };
 
     Publisher(Platform::LogService &log, const Core::Clock &clock, std::mt19937_64 &random,
@@ -81,7 +81,7 @@
     /// Appends the record and reads the log on, again and again until the visitor's work is done or
     /// the patience has run out.
     boost::asio::awaitable<void> appendUntil(const bool &decided, ConfigurationHistory &history,
-                                             std::string record, const Visitor &look);
+                                             std::string record, const Visitor &observe);
     /// Waits before a retry; throws PlatformUnavailable when the deadline would pass.
     boost::asio::awaitable<void> waitForRetry(RetryDelay &delay, Core::Clock::Monotonic deadline);
 
--- a/Libraries/LibConfiguration/TableReader.cpp
+++ b/Libraries/LibConfiguration/TableReader.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr std::size_t MaximumIdentifierLength = 64;
-constexpr std::size_t MaximumPathLength = 1'024;
+constexpr std::size_t MaxIdentifierLength = 64;
+constexpr std::size_t MaxPathLength = 1'024;
 constexpr std::size_t HashLength = 64;
 constexpr std::string_view IdentifierRule =
     "must be 1 to 64 letters, digits, dots, dashes or underscores";
@@ -22,7 +22,7 @@
         return (it >= 'a' && it <= 'z') || (it >= 'A' && it <= 'Z') || (it >= '0' && it <= '9')
                || it == '.' || it == '-' || it == '_';
     };
-    return !text.empty() && text.size() <= MaximumIdentifierLength
+    return !text.empty() && text.size() <= MaxIdentifierLength
            && std::all_of(text.begin(), text.end(), allowed);
 }
 
@@ -39,12 +39,12 @@
     const auto plain = [](char it) {
         return it > ' ' && it < '\x7f' && it != '?' && it != '#' && it != '%' && it != '\\';
     };
-    return text.starts_with('/') && text.size() <= MaximumPathLength
+    return text.starts_with('/') && text.size() <= MaxPathLength
            && text.find("//") == std::string_view::npos && text.find("/.") == std::string_view::npos
            && std::all_of(text.begin(), text.end(), plain);
 }
 
-bool isWordOf(std::string_view words, std::string_view word)
+bool containsWord(std::string_view words, std::string_view word)
 {
     if (word.empty() || word.find(' ') != std::string_view::npos)
         return false;
@@ -174,7 +174,7 @@
     const auto *value = require(field);
     if (!value)
         return std::string(field.defaultValue);
-    if (value->is_string() && isWordOf(field.choices, value->as_string(std::nothrow).str))
+    if (value->is_string() && containsWord(field.choices, value->as_string(std::nothrow).str))
         return value->as_string(std::nothrow).str;
     addFaultAt(*value, fieldPath(name), "must be one of: " + std::string(field.choices));
     return {};
--- a/Libraries/LibMetrics/BucketText.h
+++ b/Libraries/LibMetrics/BucketText.h
@@ -17,16 +17,16 @@
                           double sum, std::uint64_t count)
 {
     std::ostringstream text;
-    double cumulated = 0;
+    double cumulative = 0;
     for (auto &&bucket : boost::histogram::indexed(histogram, boost::histogram::coverage::all)) {
-        cumulated += static_cast<double>(*bucket);
+        cumulative += static_cast<double>(*bucket);
         const double upper = bucket.bin().upper();
         if (!std::isfinite(upper))
             continue;
         std::ostringstream bound;
         bound << upper;
         text << name << "_bucket" << formatLabels(labels, "le", bound.str()) << ' '
-             << static_cast<std::uint64_t>(cumulated) << '\n';
+             << static_cast<std::uint64_t>(cumulative) << '\n';
     }
     text << name << "_bucket" << formatLabels(labels, "le", "+Inf") << ' ' << count << '\n';
     text << name << "_sum" << formatLabels(labels) << ' ' << sum << '\n';
--- a/Libraries/LibMetrics/Counter.cpp
+++ b/Libraries/LibMetrics/Counter.cpp
@@ -27,7 +27,7 @@
 
 std::string Counter::render() const
 {
-    auto text = head("counter");
+    auto text = header("counter");
     const std::scoped_lock lock(m_mutex);
     for (const auto &[key, count] : m_counts)
         text += name() + formatLabels(key.labels, m_labelName, key.label) + ' '
--- a/Libraries/LibMetrics/DurationHistogram.cpp
+++ b/Libraries/LibMetrics/DurationHistogram.cpp
@@ -51,7 +51,7 @@
 
 std::string DurationHistogram::render() const
 {
-    auto text = head("histogram");
+    auto text = header("histogram");
     const std::scoped_lock lock(m_mutex);
     for (const auto &[labels, series] : m_series)
         text += renderBuckets(name(), labels, series.histogram, series.sum, series.count);
--- a/Libraries/LibMetrics/Gauge.cpp
+++ b/Libraries/LibMetrics/Gauge.cpp
@@ -13,7 +13,7 @@
 std::string Gauge::render() const
 {
     std::ostringstream text;
-    text << head("gauge");
+    text << header("gauge");
     for (const auto &sample : m_read()) {
         text << name();
         if (!m_labelName.empty())
--- a/Libraries/LibMetrics/Labels.cpp
+++ b/Libraries/LibMetrics/Labels.cpp
@@ -42,7 +42,7 @@
     return text.size() == 1 ? std::string() : text + "}";
 }
 
-std::string Family::head(std::string_view type) const
+std::string Family::header(std::string_view type) const
 {
     std::string text = "# HELP " + m_name + ' ' + m_help + '\n';
     text += "# TYPE " + m_name + ' ';
--- a/Libraries/LibMetrics/Labels.h
+++ b/Libraries/LibMetrics/Labels.h
@@ -36,7 +36,7 @@
 
 protected:
     /// The HELP and TYPE lines.
-    std::string head(std::string_view type) const;
+    std::string header(std::string_view type) const;
     const std::string &name() const { return m_name; }
 
 private:
--- a/Libraries/LibMetrics/RatioHistogram.cpp
+++ b/Libraries/LibMetrics/RatioHistogram.cpp
@@ -30,7 +30,7 @@
 
 std::string RatioHistogram::render() const
 {
-    auto text = head("histogram");
+    auto text = header("histogram");
     const std::scoped_lock lock(m_mutex);
     for (const auto &[labels, series] : m_series)
         text += renderBuckets(name(), labels, series.histogram, series.sum, series.count);
--- a/Libraries/LibPlatform/InMemoryLog.cpp
+++ b/Libraries/LibPlatform/InMemoryLog.cpp
@@ -14,10 +14,10 @@
     LogOffset offset = 0;
     {
         std::scoped_lock lock(m_mutex);
-        auto &kept = m_streams[stream];
-        dropExpired(kept);
-        offset = kept.first + kept.records.size();
-        kept.records.push_back({offset, m_clock.wallNow(), std::move(data)});
+        auto &storedStream = m_streams[stream];
+        dropExpired(storedStream);
+        offset = storedStream.first + storedStream.records.size();
+        storedStream.records.push_back({offset, m_clock.wallNow(), std::move(data)});
     }
     if (m_appendHook)
         m_appendHook(stream);
@@ -27,14 +27,15 @@
 LogPage InMemoryLog::read(const std::string &stream, LogOffset from, std::size_t limit)
 {
     std::scoped_lock lock(m_mutex);
-    auto &kept = m_streams[stream];
-    dropExpired(kept);
+    auto &storedStream = m_streams[stream];
+    dropExpired(storedStream);
     LogPage page;
-    page.first = kept.first;
-    page.next = kept.first + kept.records.size();
+    page.first = storedStream.first;
+    page.next = storedStream.first + storedStream.records.size();
     const auto start = std::clamp(from, page.first, page.next);
     const auto count = std::min<std::size_t>(limit, page.next - start);
-    const auto begin = kept.records.begin() + static_cast<std::ptrdiff_t>(start - page.first);
+    const auto begin =
+        storedStream.records.begin() + static_cast<std::ptrdiff_t>(start - page.first);
     page.records.assign(begin, begin + static_cast<std::ptrdiff_t>(count));
     return page;
 }
--- a/Services/jujubesaddled/Daemon.cpp
+++ b/Services/jujubesaddled/Daemon.cpp
@@ -25,9 +25,9 @@
 namespace {
 
 constexpr std::chrono::milliseconds PlatformTimeout {2000};
-constexpr std::chrono::milliseconds DrainPoll {20};
-constexpr std::chrono::milliseconds AdmissionTick {100};
-constexpr std::chrono::milliseconds LastAppendLimit {5'000};
+constexpr std::chrono::milliseconds DrainPollInterval {20};
+constexpr std::chrono::milliseconds AdmissionTickInterval {100};
+constexpr std::chrono::milliseconds FinalAppendTimeout {5'000};
 constexpr int RenewalsPerRetention = 8;
 
 Router::RouterSettings routerSettings(const Settings &settings, const Core::Clock &clock)
@@ -245,7 +245,7 @@
     asio::steady_timer timer(co_await asio::this_coro::executor);
     while (true) {
         m_instance.tickAdmission();
-        timer.expires_after(AdmissionTick);
+        timer.expires_after(AdmissionTickInterval);
         co_await timer.async_wait(asio::use_awaitable);
     }
 }
@@ -265,7 +265,7 @@
     if (m_siblings)
         m_siblings->leave();
     waitForRequests();
-    appendLastRecords();
+    flushRecords();
     Core::logEvent(Core::EventId::ProcessStopped,
                    {{"cut_requests", std::to_string(m_server->activeExchanges())}});
 }
@@ -275,20 +275,20 @@
     const auto begun = m_clock.now();
     const auto elapsed = [&] { return m_clock.now() - begun; };
     while (elapsed() < m_settings.drainGrace)
-        std::this_thread::sleep_for(DrainPoll);
+        std::this_thread::sleep_for(DrainPollInterval);
     m_server->stopAccepting();
     while (m_server->activeExchanges() > 0 && elapsed() < m_settings.drainLimit)
-        std::this_thread::sleep_for(DrainPoll);
+        std::this_thread::sleep_for(DrainPollInterval);
 }
 
-void Daemon::appendLastRecords()
+void Daemon::flushRecords()
 {
     const auto begun = m_clock.now();
     auto finished =
         asio::co_spawn(m_controlThread.at(0), m_usageReporter->finish(), asio::use_future);
-    finished.wait_for(LastAppendLimit);
-    while (m_claims->pendingRecords() > 0 && m_clock.now() - begun < LastAppendLimit)
-        std::this_thread::sleep_for(DrainPoll);
+    finished.wait_for(FinalAppendTimeout);
+    while (m_claims->pendingRecords() > 0 && m_clock.now() - begun < FinalAppendTimeout)
+        std::this_thread::sleep_for(DrainPollInterval);
     m_claims->stop();
 }
 
--- a/Services/jujubesaddled/Daemon.h
+++ b/Services/jujubesaddled/Daemon.h
@@ -55,7 +55,7 @@
     void applyLimits(const Configuration::Limits &limits);
     void drain();
     void waitForRequests();
-    void appendLastRecords();
+    void flushRecords();
 
     Settings m_settings;
     Core::SystemClock m_clock;
--- a/Services/jujubesaddled/Settings.cpp
+++ b/Services/jujubesaddled/Settings.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr int ExitBadSettings = 2;
-constexpr std::size_t MostThreads = 256;
-constexpr std::size_t ShortestPeerKeyBytes = 16;
+constexpr std::size_t MaxThreads = 256;
+constexpr std::size_t MinPeerKeyBytes = 16;
 
 /// The settings as they were written, before the check.
 struct RawSettings
@@ -160,20 +160,20 @@
 
 void checkTimes(const RawSettings &raw, Settings &settings, Checker &checker)
 {
-    constexpr std::size_t LongestSeconds = 366UL * 24 * 3600;
-    constexpr std::size_t LongestMs = 3'600'000;
+    constexpr std::size_t MaxSeconds = 366UL * 24 * 3600;
+    constexpr std::size_t MaxMilliseconds = 3'600'000;
     settings.keyWindow =
-        std::chrono::seconds(checker.number("--key-window-s", raw.keyWindowS, 1, LongestSeconds));
-    settings.logRetention = std::chrono::seconds(
-        checker.number("--log-retention-s", raw.logRetentionS, 1, LongestSeconds));
-    settings.clockSkew =
-        std::chrono::milliseconds(checker.number("--clock-skew-ms", raw.clockSkewMs, 0, LongestMs));
+        std::chrono::seconds(checker.number("--key-window-s", raw.keyWindowS, 1, MaxSeconds));
+    settings.logRetention =
+        std::chrono::seconds(checker.number("--log-retention-s", raw.logRetentionS, 1, MaxSeconds));
+    settings.clockSkew = std::chrono::milliseconds(
+        checker.number("--clock-skew-ms", raw.clockSkewMs, 0, MaxMilliseconds));
     const auto window = Claims::KeyWindow::create(settings.keyWindow, settings.clockSkew,
                                                   settings.logRetention, ClaimMargin);
     if (!window.has_value())
         checker.fault("--key-window-s", window.error().detail());
     settings.usageInterval = std::chrono::milliseconds(
-        checker.number("--usage-interval-ms", raw.usageIntervalMs, 10, LongestMs));
+        checker.number("--usage-interval-ms", raw.usageIntervalMs, 10, MaxMilliseconds));
 }
 
 void checkUpstreams(const RawSettings &raw, Settings &settings, Checker &checker)
@@ -209,9 +209,9 @@
     if (raw.peer.empty())
         return;
     settings.peer = checker.endpoint("--peer", raw.peer);
-    if (settings.peerKey.size() < ShortestPeerKeyBytes)
+    if (settings.peerKey.size() < MinPeerKeyBytes)
         checker.fault("--peer-key-file", "--peer needs a key of at least "
-                                             + std::to_string(ShortestPeerKeyBytes) + " bytes");
+                                             + std::to_string(MinPeerKeyBytes) + " bytes");
 }
 
 void check(const RawSettings &raw, CommandLine &line)
@@ -228,12 +228,12 @@
     settings.environment = raw.environment;
     settings.threads = raw.threads.empty()
                            ? std::max(1U, std::thread::hardware_concurrency())
-                           : checker.number("--threads", raw.threads, 1, MostThreads);
-    constexpr std::size_t LongestDrainMs = 3'600'000;
+                           : checker.number("--threads", raw.threads, 1, MaxThreads);
+    constexpr std::size_t MaxDrainMilliseconds = 3'600'000;
     settings.drainGrace = std::chrono::milliseconds(
-        checker.number("--drain-grace-ms", raw.drainGraceMs, 0, LongestDrainMs));
+        checker.number("--drain-grace-ms", raw.drainGraceMs, 0, MaxDrainMilliseconds));
     settings.drainLimit = std::chrono::milliseconds(
-        checker.number("--drain-limit-ms", raw.drainLimitMs, 0, LongestDrainMs));
+        checker.number("--drain-limit-ms", raw.drainLimitMs, 0, MaxDrainMilliseconds));
     checkTimes(raw, settings, checker);
     checkPlatform(raw, settings, checker);
     checkUpstreams(raw, settings, checker);
--- a/Tests/LibConfiguration/FakeLogService.h
+++ b/Tests/LibConfiguration/FakeLogService.h
@@ -27,23 +27,24 @@
     { }
 
     /// Neither reads nor appends are answered, and no append takes effect.
-    bool isOut = false;
+    bool isUnavailable = false;
     /// How many per cent of the appends take effect but are not answered.
-    unsigned lostAnswers = 0;
-    /// How many per cent of the appends are not answered and take effect at releaseLate().
-    unsigned lateAppends = 0;
+    unsigned lostAnswerPercent = 0;
+    /// How many per cent of the appends are not answered and take effect at
+    /// releaseDelayedAppends().
+    unsigned delayedAppendPercent = 0;
 
     boost::asio::awaitable<Platform::LogOffset> append(std::string stream,
                                                        std::string data) override
     {
         co_await interleave();
-        requireUp();
-        if (m_random() % 100 < lateAppends) {
-            m_late.emplace_back(std::move(stream), std::move(data));
+        requireAvailable();
+        if (m_random() % 100 < delayedAppendPercent) {
+            m_delayedAppends.emplace_back(std::move(stream), std::move(data));
             throw unavailable();
         }
         const auto offset = m_log.append(stream, std::move(data));
-        if (m_random() % 100 < lostAnswers)
+        if (m_random() % 100 < lostAnswerPercent)
             throw unavailable();
         co_return offset;
     }
@@ -53,13 +54,13 @@
                                                    std::chrono::milliseconds) override
     {
         co_await interleave();
-        requireUp();
+        requireAvailable();
         co_return m_log.read(stream, from, limit);
     }
 
-    void releaseLate()
+    void releaseDelayedAppends()
     {
-        for (auto &[stream, data] : std::exchange(m_late, {}))
+        for (auto &[stream, data] : std::exchange(m_delayedAppends, {}))
             m_log.append(stream, std::move(data));
     }
 
@@ -68,9 +69,9 @@
     {
         return Core::Error(Core::ErrorKind::PlatformUnavailable, "ordered by the test");
     }
-    void requireUp() const
+    void requireAvailable() const
     {
-        if (isOut)
+        if (isUnavailable)
             throw unavailable();
     }
     boost::asio::awaitable<void> interleave()
@@ -83,5 +84,5 @@
     Platform::InMemoryLog &m_log;
     Core::ManualClock &m_clock;
     std::mt19937_64 m_random;
-    std::vector<std::pair<std::string, std::string>> m_late;
+    std::vector<std::pair<std::string, std::string>> m_delayedAppends;
 };
--- a/Tests/LibConfiguration/TestConfigurationHistory.cpp
+++ b/Tests/LibConfiguration/TestConfigurationHistory.cpp
@@ -33,8 +33,8 @@
     std::vector<Verdict> read(ConfigurationHistory &reader)
     {
         std::vector<Verdict> verdicts;
-        while (reader.wanted() < log.read(Stream, 0, 0).next) {
-            for (const auto &it : reader.take(log.read(Stream, reader.wanted(), 3)))
+        while (reader.nextOffset() < log.read(Stream, 0, 0).next) {
+            for (const auto &it : reader.processPage(log.read(Stream, reader.nextOffset(), 3)))
                 verdicts.push_back(it.verdict);
             if (reader.isHalted())
                 break;
@@ -186,7 +186,7 @@
     fixture.publish(0, sampleDocument(1), "b");
     CHECK(fixture.read() == Verdicts {Verdict::Undecidable});
     CHECK(fixture.history.isHalted());
-    CHECK(fixture.history.wanted() == 0);
+    CHECK(fixture.history.nextOffset() == 0);
     CHECK(fixture.history.current()->generation == 0);
 }
 
--- a/Tests/LibConfiguration/TestConfigurationReader.cpp
+++ b/Tests/LibConfiguration/TestConfigurationReader.cpp
@@ -47,7 +47,7 @@
                                           .instance = Core::InstanceId(name),
                                           .renewalInterval = 2s,
                                           .firstRetry = 0ms,
-                                          .longestRetry = 0ms},
+                                          .maxRetryDelay = 0ms},
             service, readerClock, random,
             Configuration::ReaderHooks {.onAccepted =
                                             [this](const auto &it) {
@@ -71,7 +71,7 @@
     }
     /// Lets the readers work until the condition holds; false when it never does.
     template <typename Condition>
-    bool until(Condition holds)
+    bool runUntil(Condition holds)
     {
         for (int n = 0; n < 2'000'000 && !holds(); ++n)
             context.run_one();
@@ -100,7 +100,7 @@
     fixture.publish(0, sampleDocument(1));
     for (int n = 0; n < 8; ++n)
         fixture.start();
-    CHECK(fixture.until([&] { return fixture.accepted.size() == 8; }));
+    CHECK(fixture.runUntil([&] { return fixture.accepted.size() == 8; }));
     CHECK(fixture.refused == 8);
     for (const auto &it : fixture.readers)
         CHECK(it.current()->bytes == sampleDocument(1));
@@ -111,13 +111,13 @@
     Fixture fixture;
     fixture.publish(0, sampleDocument(1));
     auto &reader = fixture.start();
-    REQUIRE(fixture.until([&] { return reader.generation() == 1; }));
-    fixture.service.isOut = true;
-    REQUIRE(fixture.until([&] { return reader.counters().failures > 5; }));
+    REQUIRE(fixture.runUntil([&] { return reader.generation() == 1; }));
+    fixture.service.isUnavailable = true;
+    REQUIRE(fixture.runUntil([&] { return reader.counters().failures > 5; }));
     CHECK(reader.generation() == 1);
     fixture.publish(1, sampleDocument(2));
-    fixture.service.isOut = false;
-    CHECK(fixture.until([&] { return reader.generation() == 2; }));
+    fixture.service.isUnavailable = false;
+    CHECK(fixture.runUntil([&] { return reader.generation() == 2; }));
 }
 
 TEST_CASE("with the log out an instance starts from a sibling, and never goes back")
@@ -125,18 +125,18 @@
     Fixture fixture;
     fixture.publish(0, sampleDocument(1));
     fixture.publish(1, sampleDocument(2));
-    fixture.service.isOut = true;
+    fixture.service.isUnavailable = true;
     auto &reader = fixture.start();
-    REQUIRE(fixture.until([&] { return reader.counters().failures > 2; }));
+    REQUIRE(fixture.runUntil([&] { return reader.counters().failures > 2; }));
     CHECK(reader.generation() == 0);
     CHECK(reader.adoptFromSibling(2, invalidDocument(2)).has_error());
     CHECK(reader.adoptFromSibling(2, sampleDocument(2)).value());
     CHECK_FALSE(reader.adoptFromSibling(1, sampleDocument(1)).value());
     CHECK(reader.generation() == 2);
     // Reading generation 1 again on the way to 2 puts nothing older in force.
-    fixture.service.isOut = false;
+    fixture.service.isUnavailable = false;
     fixture.publish(2, sampleDocument(3));
-    CHECK(fixture.until([&] { return reader.generation() == 3; }));
+    CHECK(fixture.runUntil([&] { return reader.generation() == 3; }));
     CHECK(fixture.accepted == std::vector<Generation> {2, 3});
 }
 
@@ -147,7 +147,7 @@
     fixture.isSlowToAnnounce = true;
     auto &reader = fixture.start();
     std::atomic<bool> isDone {false};
-    std::atomic<std::size_t> falls {0};
+    std::atomic<std::size_t> regressions {0};
     std::vector<std::thread> threads;
     for (unsigned n = 0; n < 3; ++n)
         threads.emplace_back([&, n] {
@@ -157,7 +157,7 @@
     std::thread watcher([&] {
         for (Generation last = 0; !isDone;) {
             const auto now = reader.current()->generation;
-            falls += now < last ? 1 : 0;
+            regressions += now < last ? 1 : 0;
             last = now;
         }
     });
@@ -165,7 +165,7 @@
         it.join();
     isDone = true;
     watcher.join();
-    CHECK(falls == 0);
+    CHECK(regressions == 0);
     CHECK(reader.generation() == Versions);
     CHECK(std::is_sorted(fixture.accepted.begin(), fixture.accepted.end()));
 }
@@ -176,22 +176,22 @@
     auto &reader = fixture.start();
     CHECK(reader.adoptFromSibling(1, sampleDocument(7)).value());
     fixture.publish(0, sampleDocument(1));
-    CHECK(fixture.until([&] { return reader.current()->bytes == sampleDocument(1); }));
+    CHECK(fixture.runUntil([&] { return reader.current()->bytes == sampleDocument(1); }));
 }
 
 TEST_CASE("the document outlives the log's retention, lost answers included")
 {
     Fixture fixture;
-    fixture.service.lostAnswers = 50;
+    fixture.service.lostAnswerPercent = 50;
     fixture.publish(0, sampleDocument(1));
     for (int n = 0; n < 8; ++n)
         fixture.start();
     const auto end = fixture.clock.now() + 60s;
-    REQUIRE(fixture.until([&] { return fixture.clock.now() > end; }));
+    REQUIRE(fixture.runUntil([&] { return fixture.clock.now() > end; }));
     const auto kept = fixture.log.read(Stream, 0, 1'000);
     CHECK(kept.first > 0);
     auto &late = fixture.start();
-    CHECK(fixture.until([&] { return late.generation() == 1; }));
+    CHECK(fixture.runUntil([&] { return late.generation() == 1; }));
     CHECK(late.current()->bytes == sampleDocument(1));
     // Sixty seconds hold at most thirty intervals; every instance for itself would make 8 times
     // as many.
@@ -205,6 +205,6 @@
     ahead.advance(24h);
     fixture.publish(0, sampleDocument(1));
     auto &reader = fixture.start(ahead);
-    REQUIRE(fixture.until([&] { return reader.counters().reads > 100; }));
+    REQUIRE(fixture.runUntil([&] { return reader.counters().reads > 100; }));
     CHECK(reader.counters().renewals == 1);
 }
--- a/Tests/LibConfiguration/TestHistorySweep.cpp
+++ b/Tests/LibConfiguration/TestHistorySweep.cpp
@@ -47,19 +47,19 @@
     Generation generations() const { return m_reference.current()->generation; }
 
 private:
-    std::size_t draw(std::size_t bound) { return m_random() % bound; }
+    std::size_t randomBelow(std::size_t bound) { return m_random() % bound; }
 
     void step()
     {
-        m_clock.advance(std::chrono::milliseconds(draw(400)));
+        m_clock.advance(std::chrono::milliseconds(randomBelow(400)));
         // A cut lets one instance read nothing for longer than the log keeps records.
-        if (draw(60) == 0) {
-            m_cut = draw(Instances);
-            m_cutUntil = m_clock.now() + 15s;
+        if (randomBelow(60) == 0) {
+            m_disconnectedInstance = randomBelow(Instances);
+            m_disconnectedUntil = m_clock.now() + 15s;
         }
-        switch (draw(8)) {
+        switch (randomBelow(8)) {
         case 0:
-            prepare(draw(Operators));
+            prepare(randomBelow(Operators));
             break;
         case 1:
             appendPrepared();
@@ -69,41 +69,41 @@
             followReference();
             break;
         case 3:
-            m_readers[draw(Instances)] = ConfigurationHistory(Environment);
+            m_readers[randomBelow(Instances)] = ConfigurationHistory(Environment);
             break;
         case 4:
-            prepareRenewal(draw(Instances));
+            prepareRenewal(randomBelow(Instances));
             break;
         default:
-            readSome(draw(m_readers.size()));
+            readSome(randomBelow(m_readers.size()));
         }
     }
 
     /// An operator edits what it has read; the record is appended later, once, twice or never.
-    void prepare(std::size_t which)
+    void prepare(std::size_t index)
     {
-        auto &reader = m_readers[Instances + which];
-        if (draw(2) == 0)
+        auto &reader = m_readers[Instances + index];
+        if (randomBelow(2) == 0)
             readToEnd(reader);
         const auto &base = *reader.current();
         const auto number = static_cast<unsigned>(m_serial++);
-        const auto text = draw(4) == 0 ? invalidDocument(number) : sampleDocument(number);
+        const auto text = randomBelow(4) == 0 ? invalidDocument(number) : sampleDocument(number);
         m_prepared.push_back(
             samplePublication(base.generation, base.bytes, text, std::to_string(number)));
     }
 
-    void prepareRenewal(std::size_t which)
+    void prepareRenewal(std::size_t index)
     {
-        auto &reader = m_readers[which];
-        if (isCut(which))
+        auto &reader = m_readers[index];
+        if (isDisconnected(index))
             return;
-        if (draw(3) != 0)
+        if (randomBelow(3) != 0)
             readToEnd(reader);
-        const auto due = reader.renewalTime(std::to_string(which), RenewalInterval);
+        const auto due = reader.renewalTime(std::to_string(index), RenewalInterval);
         if (!due || m_clock.wallNow() < *due)
             return;
-        m_prepared.push_back(reader.renewal(std::to_string(which)));
-        if (draw(4) != 0)
+        m_prepared.push_back(reader.renewal(std::to_string(index)));
+        if (randomBelow(4) != 0)
             appendPrepared();
     }
 
@@ -111,9 +111,10 @@
     {
         if (m_prepared.empty())
             return;
-        const auto at = draw(2) == 0 ? m_prepared.size() - 1 : draw(m_prepared.size());
+        const auto at =
+            randomBelow(2) == 0 ? m_prepared.size() - 1 : randomBelow(m_prepared.size());
         m_log.append(Stream, encodeRecord(Environment, m_prepared[at]));
-        if (draw(4) != 0)
+        if (randomBelow(4) != 0)
             m_prepared.erase(m_prepared.begin() + static_cast<std::ptrdiff_t>(at));
         followReference();
     }
@@ -121,37 +122,41 @@
     /// The reference reads each record as it comes and so never meets a gap.
     void followReference()
     {
-        for (const auto &it : m_reference.take(m_log.read(Stream, m_reference.wanted(), 1'000))) {
+        for (const auto &it :
+             m_reference.processPage(m_log.read(Stream, m_reference.nextOffset(), 1'000))) {
             if (it.version)
                 m_accepted[it.generation] = it.version->digest;
         }
         REQUIRE(m_reference.isAnchored());
     }
 
-    bool isCut(std::size_t which) const { return which == m_cut && m_clock.now() < m_cutUntil; }
+    bool isDisconnected(std::size_t index) const
+    {
+        return index == m_disconnectedInstance && m_clock.now() < m_disconnectedUntil;
+    }
 
-    void readSome(std::size_t which)
+    void readSome(std::size_t index)
     {
-        if (!isCut(which))
-            readPage(m_readers[which], 1 + draw(5));
+        if (!isDisconnected(index))
+            readPage(m_readers[index], 1 + randomBelow(5));
     }
 
     void readToEnd(ConfigurationHistory &reader)
     {
-        while (reader.wanted() < m_log.read(Stream, 0, 0).next)
-            readPage(reader, 1 + draw(20));
+        while (reader.nextOffset() < m_log.read(Stream, 0, 0).next)
+            readPage(reader, 1 + randomBelow(20));
     }
 
     void readPage(ConfigurationHistory &reader, std::size_t limit)
     {
         const auto before = reader.current()->generation;
-        const auto page = m_log.read(Stream, reader.wanted(), limit);
-        m_gaps += page.first > reader.wanted() ? 1 : 0;
-        reader.take(page);
+        const auto page = m_log.read(Stream, reader.nextOffset(), limit);
+        m_gaps += page.first > reader.nextOffset() ? 1 : 0;
+        reader.processPage(page);
         const auto &now = *reader.current();
         REQUIRE(now.generation >= before);
         REQUIRE((now.generation == 0 || m_accepted.at(now.generation) == now.digest));
-        if (reader.isAnchored() && reader.wanted() == page.next)
+        if (reader.isAnchored() && reader.nextOffset() == page.next)
             REQUIRE(now.generation == m_reference.current()->generation);
     }
 
@@ -174,8 +179,8 @@
     std::vector<ConfigurationHistory> m_readers;
     std::vector<ConfigurationRecord> m_prepared;
     std::map<Generation, std::string> m_accepted;
-    std::size_t m_cut = 0;
-    Core::Clock::Monotonic m_cutUntil {};
+    std::size_t m_disconnectedInstance = 0;
+    Core::Clock::Monotonic m_disconnectedUntil {};
     std::size_t m_serial = 0;
     std::size_t m_gaps = 0;
 };
--- a/Tests/LibConfiguration/TestPublisher.cpp
+++ b/Tests/LibConfiguration/TestPublisher.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr const char *Environment = "trial";
-constexpr Publisher::Options Options {.patience = 200ms, .firstRetry = 0ms, .longestRetry = 0ms};
+constexpr Publisher::Options Options {.timeout = 200ms, .firstRetry = 0ms, .maxRetryDelay = 0ms};
 
 struct Fixture
 {
@@ -66,7 +66,7 @@
 TEST_CASE("a publication whose answers are always lost is found by reading back")
 {
     Fixture fixture;
-    fixture.service.lostAnswers = 100;
+    fixture.service.lostAnswerPercent = 100;
     const auto outcome = fixture.publish(sampleDocument(1));
     CHECK(outcome.result == PublishResult::Accepted);
     CHECK(outcome.generation == 1);
@@ -76,10 +76,10 @@
 TEST_CASE("an append that takes effect after the operator gave up is not called refused")
 {
     Fixture fixture;
-    fixture.service.lateAppends = 100;
+    fixture.service.delayedAppendPercent = 100;
     const auto outcome = fixture.publish(sampleDocument(1));
     CHECK(outcome.result == PublishResult::Unknown);
-    fixture.service.releaseLate();
+    fixture.service.releaseDelayedAppends();
     CHECK(fixture.accepted().size() == 1);
 }
 
@@ -106,7 +106,7 @@
     CHECK_THROWS_AS(fixture.await(fixture.publisher.restart(request, 9)), Core::Error);
     fixture.clock.advance(2h);
     CHECK_THROWS_AS(fixture.publish(sampleDocument(2)), Core::Error);
-    fixture.service.lostAnswers = 100;
+    fixture.service.lostAnswerPercent = 100;
     const auto outcome = fixture.await(fixture.publisher.restart(request, 9));
     CHECK(outcome.result == PublishResult::Accepted);
     CHECK(outcome.generation == 9);
@@ -152,7 +152,7 @@
 TEST_CASE("an outage ends as unavailable before anything was appended")
 {
     Fixture fixture;
-    fixture.service.isOut = true;
+    fixture.service.isUnavailable = true;
     try {
         fixture.publish(sampleDocument(1));
         FAIL("published");
@@ -169,8 +169,8 @@
     for (std::uint64_t seed = 1; seed <= 150; ++seed) {
         INFO("seed " << seed);
         Fixture fixture(seed);
-        fixture.service.lostAnswers = seed % 3 * 30;
-        fixture.service.lateAppends = seed % 6 * 20;
+        fixture.service.lostAnswerPercent = seed % 3 * 30;
+        fixture.service.delayedAppendPercent = seed % 6 * 20;
         std::vector<PublishOutcome> outcomes(Operators);
         for (std::size_t n = 0; n < Operators; ++n)
             boost::asio::co_spawn(
@@ -182,8 +182,8 @@
                     outcomes[n] = outcome;
                 });
         fixture.context.run();
-        fixture.service.lostAnswers = fixture.service.lateAppends = 0;
-        fixture.service.releaseLate();
+        fixture.service.lostAnswerPercent = fixture.service.delayedAppendPercent = 0;
+        fixture.service.releaseDelayedAppends();
         const auto accepted = fixture.accepted();
         for (std::size_t n = 0; n < Operators; ++n) {
             const auto digest = Core::sha256Hex(sampleDocument(static_cast<unsigned>(n)));
--- a/Utilities/jujubectl/Context.cpp
+++ b/Utilities/jujubectl/Context.cpp
@@ -8,7 +8,7 @@
 
 Configuration::Publisher Context::publisher() const
 {
-    return Configuration::Publisher(*log, clock, random, {.patience = settings.timeout});
+    return Configuration::Publisher(*log, clock, random, {.timeout = settings.timeout});
 }
 
 asio::awaitable<std::vector<AdminTarget>> adminTargets(Context &context)
