--- a/Libraries/LibConfiguration/ConfigurationHistory.cpp
+++ b/Libraries/LibConfiguration/ConfigurationHistory.cpp
@@ -46,8 +46,8 @@
 {
     if (!m_anchored || m_halted || m_current->generation == 0 || m_recordTimes.empty())
         return std::nullopt;
-    // The newest whole copy serves until the record at its foldedTo is dropped, so that record's
-    // age is what counts.
+    // The newest complete copy is usable until retention drops the record at its foldedTo offset,
+    // so the renewal time depends on the age of that record.
     constexpr std::uint64_t Steps = 1'024;
     const auto step = static_cast<std::int64_t>(Core::hash64(instance, m_copyFoldedTo) % Steps);
     const auto delay = interval / 2 * step / static_cast<std::int64_t>(Steps);
@@ -162,8 +162,9 @@
                                               Platform::LogOffset first, HistoryEntry &entry)
 {
     entry.verdict = Verdict::Skipped;
-    // A renewal whose writer was paused may stand after publications that it does not know of. It
-    // serves only where all records since its state are still there to be folded.
+    // A renewal whose writer was paused may follow publications that the writer had not read. The
+    // renewal is usable only if the log still has all records since its state, so that they can be
+    // replayed.
     if (renewal.foldedTo < first || renewal.foldedTo > record.offset) {
         entry.detail = "records between the copy and the first one kept are gone";
         return;
--- a/Libraries/LibConfiguration/ConfigurationHistory.h
+++ b/Libraries/LibConfiguration/ConfigurationHistory.h
@@ -12,80 +12,80 @@
 
 namespace Configuration {
 
-/// What the fold decided about one record.
+/// The result of evaluating one record of the stream.
 enum class Verdict {
     /// The first valid publication for its generation.
     Accepted,
-    /// Replaces a generation that is no longer, or not yet, in force.
+    /// Replaces a generation that is not the active one.
     LostRace,
-    /// Replaces the right generation with a document that has faults or another digest.
+    /// Replaces the active generation, but the document has faults or does not match its digest.
     Invalid,
-    /// A whole copy of a document; changes nothing for a reader that has the state already.
+    /// A complete copy of a document. It changes nothing for a reader that already has the state.
     Renewed,
-    /// A renewal from which this reader took the state after a gap.
+    /// A renewal from which this reader restored its state after a gap.
     Anchored,
     /// Not a record of this environment's configuration.
     Unreadable,
-    /// Passed over while the reader seeks a renewal after a gap.
+    /// Skipped because the reader is looking for a usable renewal after a gap.
     Skipped,
-    /// Of a format that this program is too old to judge; the fold stops before it.
+    /// Uses a format that is newer than this program. Processing stops before the record.
     Undecidable,
 };
 
-/// The name of a verdict for logs and tables.
+/// Returns the name of a verdict for logs and tables.
 std::string_view verdictName(Verdict verdict);
 
-/// One record and the verdict on it.
+/// The result for one record of the stream.
 struct HistoryEntry
 {
     Platform::LogOffset offset = 0;
     Verdict verdict = Verdict::Unreadable;
-    /// The generation in force after the record.
+    /// The active generation after the record.
     Generation generation = 0;
     std::string publicationId;
     std::string publisher;
-    /// Faults or the reason of a refusal.
+    /// The faults or the reason why the record was rejected.
     std::string detail;
-    /// The version that came into force with this record, or null.
+    /// The version that this record activated, or null.
     ConfigurationVersionPointer version;
 };
 
-/// Decides the order of configurations: a pure fold over the records of one stream. Readers of the
-/// same records reach the same state, whatever pages they read and wherever they start, because
-/// only the log's order and the bytes count.
+/// Determines the active configuration by replaying the records of one stream. Readers of the same
+/// records reach the same state regardless of page sizes and starting offsets, because the result
+/// depends only on the order and the bytes of the records.
 ///
 /// A publication names the generation that it replaces; the first valid one for that generation
-/// wins. After a gap (retention has dropped records that were not read) nothing that follows can
-/// be judged, so the reader seeks a renewal whose state covers everything before the first record
-/// that is left, takes that state and goes on from there. The generation never falls.
+/// wins. After a gap (retention has dropped unread records) the following publications cannot be
+/// evaluated. The reader then looks for a renewal whose state covers every record before the oldest
+/// retained one, restores that state and continues from there. The generation never decreases.
 ///
-/// Not thread safe.
+/// Not thread-safe.
 class ConfigurationHistory
 {
 public:
     explicit ConfigurationHistory(std::string environment);
 
     const std::string &environment() const { return m_environment; }
-    /// The log stream to read.
+    /// Returns the name of the log stream to read.
     std::string stream() const { return configurationStream(m_environment); }
-    /// The offset to read from next. It moves back when a renewal after a gap is found.
+    /// Returns the offset to read next. It moves back when a usable renewal is found after a gap.
     Platform::LogOffset nextOffset() const { return m_next; }
-    /// Judges the records of a page that was read from wanted() on.
+    /// Evaluates the records of a page that was read from nextOffset().
     std::vector<HistoryEntry> processPage(const Platform::LogPage &page);
 
-    /// The version in force by the log; generation 0 before the first.
+    /// Returns the active version according to the log; generation 0 before the first publication.
     const ConfigurationVersionPointer &current() const { return m_current; }
-    /// Whether the state covers every record before wanted(). False after a gap.
+    /// Returns whether the state covers every record before nextOffset(). False after a gap.
     bool isAnchored() const { return m_anchored; }
-    /// Whether the next record is of a format that this program cannot judge.
+    /// Returns whether the next record uses a format that this program does not support.
     bool isHalted() const { return m_halted; }
 
-    /// When this instance should append a renewal, by the log's clock; nothing when there is
-    /// nothing to renew. Instances get different times within half an interval, so that one of them
-    /// usually does it for all; several renewals do no harm.
+    /// Returns when this instance should append a renewal, by the log's clock, or nothing when
+    /// there is nothing to renew. The times of the instances are spread over half an interval, so
+    /// that usually only one of them appends a renewal. Additional renewals are harmless.
     std::optional<std::chrono::system_clock::time_point>
     renewalTime(std::string_view instance, std::chrono::milliseconds interval) const;
-    /// The renewal to append. Only for an anchored reader with a generation above 0.
+    /// Returns the renewal to append. Requires an anchored reader with a generation above 0.
     Renewal renewal(std::string renewer) const;
 
 private:
@@ -104,7 +104,7 @@
     void restoreFromRenewal(const Renewal &renewal, const Platform::LogRecord &record,
                             Platform::LogOffset first, HistoryEntry &entry);
     void noteRecordTime(const Platform::LogRecord &record);
-    /// Puts the version in force and into the entry.
+    /// Makes the version the active one and stores it in the entry.
     void accept(ConfigurationVersion version, HistoryEntry &entry);
 
     std::string m_environment;
@@ -112,9 +112,9 @@
     Platform::LogOffset m_next = 0;
     bool m_anchored = true;
     bool m_halted = false;
-    /// The offset up to which the newest whole copy stands for the records before it.
+    /// The newest complete copy covers all records before this offset.
     Platform::LogOffset m_copyFoldedTo = 0;
-    /// The times of the records from m_copyFoldedTo on.
+    /// The times of the records starting at m_copyFoldedTo.
     std::deque<TimedOffset> m_recordTimes;
 };
 
--- a/Libraries/LibConfiguration/ConfigurationReader.cpp
+++ b/Libraries/LibConfiguration/ConfigurationReader.cpp
@@ -82,7 +82,7 @@
 
 asio::awaitable<void> ConfigurationReader::readOnce()
 {
-    // A read that starts at the end waits there for the next record.
+    // A read that starts at the end of the log waits for the next record.
     const auto page = co_await m_log.read(m_history.stream(), m_history.nextOffset(),
                                           m_options.pageRecords, m_options.readWait);
     ++m_counters.reads;
@@ -97,7 +97,8 @@
     const auto due = m_history.renewalTime(m_options.instance.value(), m_options.renewalInterval);
     if (!m_caughtUp || !due || m_clock.wallNow() < *due)
         co_return;
-    // An instance whose calendar runs ahead of the log's would find every copy too old.
+    // An instance whose wall clock is ahead of the log's clock considers every copy too old, so
+    // renewals are also limited by the monotonic clock.
     const auto now = m_clock.now();
     if (m_lastRenewal && now - *m_lastRenewal < m_options.renewalInterval / 2)
         co_return;
@@ -133,7 +134,8 @@
 
 bool ConfigurationReader::activate(ConfigurationVersionPointer version, bool fromLog)
 {
-    // The hook runs under the lock, or a slower thread could announce an older version last.
+    // The hook runs under the lock; otherwise a slower thread could announce an older version after
+    // a newer one.
     std::scoped_lock lock(m_activationMutex);
     const auto active = m_current.share();
     const bool corrects =
--- a/Libraries/LibConfiguration/ConfigurationReader.h
+++ b/Libraries/LibConfiguration/ConfigurationReader.h
@@ -24,11 +24,11 @@
 {
     std::string environment;
     Core::InstanceId instance;
-    /// How old the newest whole copy of the document in the log may grow before the instances
-    /// append another one. At most a quarter of the log's retention, so that a long outage of the
-    /// log does not let the last copy lapse.
+    /// The age of the newest complete copy of the document in the log at which the instances append
+    /// another one. At most a quarter of the log's retention, so that the last copy does not expire
+    /// during a long outage of the log.
     std::chrono::milliseconds renewalInterval = std::chrono::hours(1);
-    /// How long one read waits for a record.
+    /// The time that one read waits for a record.
     std::chrono::milliseconds readWait = std::chrono::seconds(5);
     std::chrono::milliseconds firstRetry = std::chrono::milliseconds(100);
     std::chrono::milliseconds maxRetryDelay = std::chrono::seconds(2);
@@ -37,10 +37,11 @@
 
 struct ReaderHooks
 {
-    /// A version came into force here. Called one at a time and in rising order, from the thread
-    /// that brought it; must not call adoptFromSibling().
+    /// Called when a version becomes active on this instance. Calls are serialized, in ascending
+    /// order of generation, and run on the thread that activates the version. The hook must not
+    /// call adoptFromSibling().
     std::function<void(const ConfigurationVersion &)> onAccepted = [](const auto &) {};
-    /// A record was refused.
+    /// Called when a record is rejected.
     std::function<void(const HistoryEntry &)> onRefused = [](const auto &) {};
 };
 
@@ -52,35 +53,38 @@
     std::atomic<std::uint64_t> renewals {0};
 };
 
-/// Keeps an instance's configuration in step with the log. With the log out the instance goes on
-/// with what is in force, and a starting one may take a sibling's. current(), generation() and
-/// adoptFromSibling() are safe from any thread; run() runs once, on one strand.
+/// Keeps an instance's configuration synchronized with the log. While the log is unavailable, the
+/// instance keeps its active configuration, and a starting instance can adopt that of a sibling.
+/// current(), generation() and adoptFromSibling() are thread-safe; run() is called once, on one
+/// strand.
 class ConfigurationReader
 {
 public:
     ConfigurationReader(ReaderOptions options, Platform::LogService &log, const Core::Clock &clock,
                         std::mt19937_64 &random, ReaderHooks hooks);
 
-    /// Follows the log until stop(). Never throws for an outage of the log.
+    /// Follows the log until stop() is called. Does not throw when the log is unavailable.
     boost::asio::awaitable<void> run();
-    /// Ends run() after its present wait. Call on the strand of run().
+    /// Ends run() and cancels a retry delay. Must be called on the strand of run().
     void stop();
 
-    /// What is in force on this instance. Generation 0 without a document before the first.
+    /// Returns the active version of this instance; generation 0 without a document before the
+    /// first one.
     ConfigurationVersionPointer current() const { return m_current.share(); }
-    /// Calls the reader with the version in force, without counting references: for the path of a
-    /// request. The reader must not suspend.
+    /// Calls the reader with the active version without reference counting, for use while handling
+    /// requests. The reader must not suspend.
     template <typename Reader>
     auto read(Reader &&reader) const
     {
         return m_current.read(std::forward<Reader>(reader));
     }
-    /// The generation in force, to hand to siblings; 0 means none.
+    /// Returns the active generation, for sending to siblings; 0 means none.
     Generation generation() const { return m_generation.load(std::memory_order_acquire); }
 
-    /// Takes a document from a sibling when its generation is above the one in force here. The
-    /// log's word replaces it as soon as it can be read. Fails with ConfigurationInvalid when the
-    /// document has faults. Returns whether it came into force.
+    /// Adopts a document from a sibling when its generation is above the active one. A different
+    /// document of the same generation in the log replaces it once the log can be read. Fails with
+    /// ConfigurationInvalid when the document has faults. Returns whether the document became
+    /// active.
     Core::Result<bool> adoptFromSibling(Generation generation, std::string bytes);
 
     const ReaderCounters &counters() const { return m_counters; }
--- a/Libraries/LibConfiguration/ConfigurationRecord.h
+++ b/Libraries/LibConfiguration/ConfigurationRecord.h
@@ -12,10 +12,10 @@
 
 namespace Configuration {
 
-/// The place of a generation in the order of publications. 0 stands before the first document.
+/// The sequence number of an accepted document. 0 means that there is no document yet.
 using Generation = std::uint64_t;
 
-/// Where a promoted document was accepted before.
+/// The environment and version that a promoted document comes from.
 struct PromotionSource
 {
     std::string environment;
@@ -23,23 +23,24 @@
     std::string digest;
 };
 
-/// A document offered in place of the one of a generation.
+/// A document that is published to replace that of a generation.
 struct Publication
 {
     Generation replaces = 0;
-    /// Unique; the same publication appended twice carries the same one.
+    /// Unique per publication; a publication that is appended twice has the same id in both
+    /// records.
     std::string publicationId;
-    /// Who published, for people.
+    /// The name of the publisher, for display.
     std::string publisher;
     /// The SHA-256 of the whole document, in hexadecimal.
     std::string digest;
     std::optional<PromotionSource> promotedFrom;
-    /// Makes the document out of the replaced one.
+    /// The change that produces the document from the replaced one.
     Splice change;
 };
 
-/// A whole copy of the document that was in force before the record at offset foldedTo. It keeps
-/// the document readable when retention has dropped the records that led to it.
+/// A complete copy of the document that was active before the record at offset foldedTo. It keeps
+/// the document available after retention has dropped the records that produced it.
 struct Renewal
 {
     Generation generation = 0;
@@ -51,14 +52,14 @@
 
 using ConfigurationRecord = std::variant<Publication, Renewal>;
 
-/// The stream that holds an environment's configuration.
+/// Returns the name of the stream with an environment's configuration.
 std::string configurationStream(std::string_view environment);
 
-/// The bytes of one log record.
+/// Encodes one log record.
 std::string encodeRecord(std::string_view environment, const ConfigurationRecord &record);
 
-/// Reads one log record. Fails with FrameInvalid for bytes that do not verify, lack a field or
-/// belong to another environment.
+/// Decodes one log record. Fails with FrameInvalid when the bytes fail verification, lack a field
+/// or belong to another environment.
 Core::Result<ConfigurationRecord> decodeRecord(std::string_view environment,
                                                std::string_view bytes);
 
--- a/Libraries/LibConfiguration/ConfigurationVersion.h
+++ b/Libraries/LibConfiguration/ConfigurationVersion.h
@@ -10,7 +10,7 @@
 
 namespace Configuration {
 
-/// One accepted document and its place in the order.
+/// One accepted document and its generation.
 struct ConfigurationVersion
 {
     Generation generation = 0;
@@ -19,10 +19,10 @@
     std::string bytes;
     /// Null for generation 0 only.
     std::shared_ptr<const Document> document;
-    /// Empty when the version came from a renewal or a sibling.
+    /// Empty when the version comes from a renewal or a sibling.
     std::string publisher;
     std::optional<PromotionSource> promotedFrom;
-    /// When the log took the publication or renewal, by the log's clock.
+    /// When the log stored the publication or renewal, by the log's clock.
     std::chrono::system_clock::time_point recordedAt;
 };
 
--- a/Libraries/LibConfiguration/Contract.h
+++ b/Libraries/LibConfiguration/Contract.h
@@ -7,16 +7,16 @@
 
 namespace Configuration {
 
-/// What one team may use of one upstream group, and what it owns there.
+/// A team's permissions and owned capacity in one upstream group.
 struct Contract
 {
     Core::TeamId team;
     Core::UpstreamGroupId upstreamGroup;
     /// The share of the group's capacity that the team owns.
     Share ownedShare;
-    /// Whether the team may use capacity that its owners leave idle.
+    /// Whether the team may borrow capacity that its owners leave idle.
     bool mayBorrow = false;
-    /// The class of a request that names none.
+    /// The class of a request that does not name one.
     Core::PriorityClassId defaultClass;
     std::vector<Core::PriorityClassId> allowedClasses;
 
--- a/Libraries/LibConfiguration/CrossReferences.cpp
+++ b/Libraries/LibConfiguration/CrossReferences.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Reports each value whose key an earlier one has.
+/// Reports each value with the same key as an earlier value.
 template <typename Value, typename Key>
 void checkUnique(const LocatedList<Value> &list, std::string_view field, Key key)
 {
--- a/Libraries/LibConfiguration/CrossReferences.h
+++ b/Libraries/LibConfiguration/CrossReferences.h
@@ -12,7 +12,8 @@
 
 namespace Configuration {
 
-/// Values beside the tables they were read from, so that a fault found later still has its place.
+/// Values with the tables that they were read from, so that a later check can report the position
+/// of a fault.
 template <typename Value>
 struct LocatedList
 {
@@ -30,9 +31,9 @@
     LocatedList<Contract> contracts;
 };
 
-/// Checks what one table says against the others: names are unique, references resolve to the
-/// right kind, sums of shares stay within the whole. Faults go to the tables' own list. The rules
-/// belong to format 1 and never change; new rules come with a new format.
+/// Validates constraints across tables: names are unique, references name an entry of the right
+/// kind, and shares add up to 1 at most. Faults are added to the list of the table readers. The
+/// rules are part of format 1 and must not change; new rules require a new format.
 void checkCrossReferences(const LocatedContents &contents);
 
 } // namespace Configuration
--- a/Libraries/LibConfiguration/Document.cpp
+++ b/Libraries/LibConfiguration/Document.cpp
@@ -57,7 +57,8 @@
     const auto *team = find(m_teamsByKeyHash, keyHash);
     if (!team)
         return nullptr;
-    // The index compares byte by byte; the comparison that admits takes constant time.
+    // The hash map lookup does not compare in constant time, so the hash is compared again in
+    // constant time before access is granted.
     const bool matches = std::any_of(
         team->keyHashes.begin(), team->keyHashes.end(),
         [keyHash](const std::string &it) { return Core::equalInConstantTime(it, keyHash); });
--- a/Libraries/LibConfiguration/Document.h
+++ b/Libraries/LibConfiguration/Document.h
@@ -17,25 +17,28 @@
 
 class Document;
 
-/// The verdict on a document's bytes: the document, or every fault found.
+/// The result of validating a document: the document, or all faults.
 struct DocumentReport
 {
     /// Null when there are faults.
     std::shared_ptr<const Document> document;
-    /// By line and column.
+    /// Sorted by line and column.
     std::vector<Fault> faults;
-    /// False when the document is of a format that this program is too old to judge.
+    /// False when the document uses a format that is newer than this program.
     bool formatKnown = true;
 };
 
-/// One environment's configuration, typed and immutable; free of addresses. Safe from any thread.
-/// Lookups take constant time and allocate nothing. Pointers live as long as the document.
+/// The immutable configuration of one environment. It contains no upstream addresses. Thread-safe.
+/// Lookups take constant time and do not allocate. Returned pointers are valid as long as the
+/// document.
 class Document
 {
 public:
-    /// Parses and validates; reports every fault at once. The verdict depends on the bytes alone.
+    /// Parses and validates a document and reports all faults. The result depends only on the
+    /// bytes.
     static DocumentReport check(std::string_view text);
-    /// As check(), with the faults in the detail of a ConfigurationInvalid error, one a line.
+    /// Like check(), but returns the faults in the detail of a ConfigurationInvalid error, one per
+    /// line.
     static Core::Result<std::shared_ptr<const Document>> parse(std::string_view text);
 
     Document(const Document &) = delete;
@@ -43,7 +46,7 @@
 
     std::uint32_t format() const { return m_contents.format; }
     const Limits &limits() const { return m_contents.limits; }
-    /// The most urgent class first.
+    /// Sorted by rank, the most urgent class first.
     std::span<const PriorityClass> priorityClasses() const { return m_contents.priorityClasses; }
     std::span<const UpstreamGroup> upstreamGroups() const { return m_contents.upstreamGroups; }
     std::span<const Model> models() const { return m_contents.models; }
@@ -51,16 +54,17 @@
     std::span<const Team> teams() const { return m_contents.teams; }
     std::span<const Contract> contracts() const { return m_contents.contracts; }
 
-    /// The team with this bearer key, or null. Hashes the key.
+    /// Returns the team with this bearer key, or null. Hashes the key.
     const Team *teamByKey(std::string_view bearerKey) const;
-    /// The team with this lower-case hexadecimal SHA-256 digest of a bearer key, or null.
+    /// Returns the team with this lower-case hexadecimal SHA-256 digest of a bearer key, or null.
     const Team *teamByKeyHash(std::string_view keyHash) const;
     const Team *team(std::string_view id) const { return find(m_teams, id); }
     const PriorityClass *priorityClass(std::string_view id) const { return find(m_classes, id); }
     const UpstreamGroup *upstreamGroup(std::string_view id) const { return find(m_groups, id); }
     const Model *model(std::string_view id) const { return find(m_models, id); }
     const PlainService *service(std::string_view name) const { return find(m_services, name); }
-    /// The contract of a team for an upstream group, or null when the team may not use it.
+    /// Returns the contract of a team for an upstream group, or null when the team may not use the
+    /// group.
     const Contract *contract(const Core::TeamId &team, const Core::UpstreamGroupId &group) const;
 
 private:
--- a/Libraries/LibConfiguration/DocumentContents.h
+++ b/Libraries/LibConfiguration/DocumentContents.h
@@ -13,7 +13,7 @@
 
 namespace Configuration {
 
-/// Everything a document says, in the order in which it says it.
+/// The contents of a document, in document order.
 struct DocumentContents
 {
     std::uint32_t format = 0;
--- a/Libraries/LibConfiguration/DocumentParser.cpp
+++ b/Libraries/LibConfiguration/DocumentParser.cpp
@@ -177,7 +177,7 @@
 std::optional<toml::value> parseToml(std::string_view text, std::vector<Fault> &faults)
 {
     try {
-        // The closing line break spares the library its handling of a text that ends without one.
+        // The final line break avoids the special case of the TOML library for text without one.
         std::istringstream input(std::string(text) + '\n');
         return toml::parse(input, "document");
     } catch (const toml::exception &error) {
@@ -189,8 +189,8 @@
     return std::nullopt;
 }
 
-/// True when the document names a format above the known one. Its other fields may then be ones
-/// that this program cannot judge.
+/// Returns whether the format of the document is above the known one. This program may not know its
+/// other fields.
 bool isOfNewerFormat(const toml::value &value)
 {
     const auto &fields = value.as_table(std::nothrow);
--- a/Libraries/LibConfiguration/DocumentParser.h
+++ b/Libraries/LibConfiguration/DocumentParser.h
@@ -8,17 +8,17 @@
 
 namespace Configuration {
 
-/// What the parser found. The contents count only when there are no faults.
+/// The result of parsing a document. The contents are valid only when there are no faults.
 struct ParsedDocument
 {
     DocumentContents contents;
-    /// By line and column.
+    /// Sorted by line and column.
     std::vector<Fault> faults;
-    /// False when the document is of a format that this program is too old to judge.
+    /// False when the document uses a format that is newer than this program.
     bool formatKnown = true;
 };
 
-/// Parses and validates a document. The verdict depends on nothing but the bytes.
+/// Parses and validates a document. The result depends only on the bytes.
 ParsedDocument parseDocument(std::string_view text);
 
 } // namespace Configuration
--- a/Libraries/LibConfiguration/Fault.h
+++ b/Libraries/LibConfiguration/Fault.h
@@ -18,7 +18,7 @@
     friend bool operator==(const Fault &, const Fault &) = default;
 };
 
-/// One line a fault: "LINE:COLUMN: PATH: MESSAGE".
+/// Formats the faults, one per line: "LINE:COLUMN: PATH: MESSAGE".
 std::string describeFaults(std::span<const Fault> faults);
 
 } // namespace Configuration
--- a/Libraries/LibConfiguration/FieldCatalogue.h
+++ b/Libraries/LibConfiguration/FieldCatalogue.h
@@ -18,8 +18,8 @@
     TableList,
 };
 
-/// One field of the configuration document. The parser takes ranges, choices and defaults from
-/// here, and docs/CONFIGURATION.md is held against it.
+/// One field of the configuration document. The parser uses the ranges, choices and defaults, and a
+/// test compares docs/CONFIGURATION.md with them.
 struct FieldRow
 {
     /// The table that holds the field; empty for the document itself.
@@ -27,23 +27,23 @@
     std::string_view name;
     FieldType type;
     std::string_view unit;
-    /// The value of an absent field as the document would write it; empty for a required field.
+    /// The default value as written in a document; empty for a required field.
     std::string_view defaultValue;
     /// The range of an integer; the allowed number of entries of a list.
     long long minimum;
     long long maximum;
-    /// The words a choice allows, separated by spaces.
+    /// The allowed values of a choice, separated by spaces.
     std::string_view choices;
     std::string_view meaning;
 };
 
-/// Every field, table by table.
+/// Returns all fields, grouped by table.
 std::span<const FieldRow> fieldCatalogue();
 
-/// The row of one field, or null.
+/// Returns the row of a field, or null.
 const FieldRow *findField(std::string_view table, std::string_view name);
 
-/// The name of a type as docs/CONFIGURATION.md writes it.
+/// Returns the name of a type as used in docs/CONFIGURATION.md.
 std::string_view fieldTypeName(FieldType type);
 
 } // namespace Configuration
--- a/Libraries/LibConfiguration/Limits.h
+++ b/Libraries/LibConfiguration/Limits.h
@@ -5,14 +5,14 @@
 
 namespace Configuration {
 
-/// Limits on what callers send.
+/// Limits on callers' requests.
 struct Limits
 {
     std::uint32_t headerBytes = 0;
     std::uint32_t bodyBytes = 0;
-    /// The longest time for a request's headers to arrive.
+    /// The maximum time to receive a request's headers.
     std::chrono::milliseconds headerTimeout {0};
-    /// The longest time for a request's body to arrive.
+    /// The maximum time to receive a request's body.
     std::chrono::milliseconds bodyTimeout {0};
     /// How long an idle connection is kept.
     std::chrono::milliseconds idleTimeout {0};
--- a/Libraries/LibConfiguration/Model.h
+++ b/Libraries/LibConfiguration/Model.h
@@ -8,20 +8,21 @@
 
 namespace Configuration {
 
-/// A model as callers name it.
+/// A model that callers can request by name.
 struct Model
 {
     Core::ModelId id;
-    /// Part of every cache key: blocks computed with other weights are never counted on.
+    /// Part of every cache key, because cached blocks are only valid for the weights that computed
+    /// them.
     std::string weightsVersion;
     Core::UpstreamGroupId upstreamGroup;
-    /// The longest answer, in tokens.
+    /// The maximum length of an answer, in tokens.
     std::uint32_t maxTokens = 0;
-    /// The longest wait for the first token.
+    /// The maximum time until the first token.
     std::chrono::milliseconds firstTokenTimeout {0};
-    /// The longest silence between two tokens.
+    /// The maximum time between two tokens.
     std::chrono::milliseconds nextTokenTimeout {0};
-    /// The longest time for a whole answer.
+    /// The maximum time for a complete answer.
     std::chrono::milliseconds answerTimeout {0};
 };
 
--- a/Libraries/LibConfiguration/NestingCheck.cpp
+++ b/Libraries/LibConfiguration/NestingCheck.cpp
@@ -7,7 +7,7 @@
 constexpr int MaxBrackets = 16;
 constexpr int MaxDotsPerLine = 32;
 
-/// Walks over the text outside strings and comments and counts brackets and dots.
+/// Counts brackets and dots outside strings and comments.
 class NestingScanner
 {
 public:
--- a/Libraries/LibConfiguration/NestingCheck.h
+++ b/Libraries/LibConfiguration/NestingCheck.h
@@ -7,8 +7,9 @@
 
 namespace Configuration {
 
-/// Finds the place where a TOML text nests brackets or dotted keys deeper than any document needs.
-/// The TOML parser recurses once a level, so this runs first to keep it from exhausting the stack.
+/// Finds the first position where a TOML text nests brackets or dotted keys deeper than any valid
+/// document. The TOML parser recurses once per level, so this check runs first to prevent a stack
+/// overflow.
 std::optional<Fault> findDeepNesting(std::string_view text);
 
 } // namespace Configuration
--- a/Libraries/LibConfiguration/PlainService.h
+++ b/Libraries/LibConfiguration/PlainService.h
@@ -10,9 +10,9 @@
 namespace Configuration {
 
 enum class Repeatability {
-    /// The call may be sent again after a failure.
+    /// The call can be retried after a failure.
     Idempotent,
-    /// The call needs an idempotency key and is sent to an upstream once at the most.
+    /// The call requires an idempotency key and is sent to an upstream at most once.
     AtMostOnce,
 };
 
@@ -24,21 +24,21 @@
     Repeatability repeatability = Repeatability::AtMostOnce;
 };
 
-/// A plain service behind /services/NAME.
+/// A plain service that callers reach under /services/NAME.
 struct PlainService
 {
     std::string name;
     Core::UpstreamGroupId upstreamGroup;
     /// How long an idempotency key is remembered after its issue time.
     std::chrono::seconds keyWindow {0};
-    /// The longest time for one call.
+    /// The maximum time for one call.
     std::chrono::milliseconds timeout {0};
     std::vector<ServiceRoute> routes;
 
-    /// The route with the longest prefix of whole path segments, or null. The path starts with a
-    /// slash and has no query. A path that an upstream could read as another one (dot segments,
-    /// empty segments, escaped dots or slashes) has no route, so that no call slips past its
-    /// at-most-once route.
+    /// Returns the route with the longest matching prefix of whole path segments, or null. The path
+    /// starts with a slash and has no query. A path that an upstream could interpret as a different
+    /// one (dot segments, empty segments, escaped dots or slashes) has no route, so that no call
+    /// can bypass its at-most-once route.
     const ServiceRoute *route(std::string_view method, std::string_view path) const;
 };
 
--- a/Libraries/LibConfiguration/PriorityClass.h
+++ b/Libraries/LibConfiguration/PriorityClass.h
@@ -8,17 +8,17 @@
 
 namespace Configuration {
 
-/// A rank of work with its target and worth.
+/// A priority class of requests with its latency target and weight.
 struct PriorityClass
 {
     Core::PriorityClassId id;
-    /// 0 goes first. No two classes have the same rank.
+    /// 0 is the most urgent rank. Ranks are unique.
     std::uint32_t rank = 0;
     /// The time within which the first token should reach the caller.
     std::chrono::milliseconds targetFirstToken {0};
-    /// What one answer within the target is worth against the other classes.
+    /// The value of an answer within the target, relative to the other classes.
     std::uint32_t worth = 1;
-    /// The share of a group's slots that the classes of lower rank number cannot take.
+    /// The share of a group's slots that classes with a lower rank number cannot use.
     Share floorShare;
     /// How many requests of the class may wait before one upstream group, per instance.
     std::uint32_t queueRequests = 0;
--- a/Libraries/LibConfiguration/Publisher.cpp
+++ b/Libraries/LibConfiguration/Publisher.cpp
@@ -20,7 +20,7 @@
 {
     return {
         .replaces = base.generation,
-        // The hash only turns random bytes into text.
+        // The hash only converts the random bytes to text.
         .publicationId = Core::sha256Hex(Core::secureRandomBytes(PublicationIdBytes)).substr(0, 32),
         .publisher = std::move(request.publisher),
         .digest = Core::sha256Hex(request.bytes),
@@ -44,13 +44,14 @@
                               + std::to_string(*request.replaces));
 }
 
-/// What the first record that settles a publication says of it.
+/// Returns the result of a publication from the first record that decides it.
 PublishResult resultOf(const HistoryEntry &entry, const Publication &publication)
 {
     const bool isOurs = entry.publicationId == publication.publicationId;
     if (isOurs && entry.verdict == Verdict::Accepted)
         return PublishResult::Accepted;
-    // After a gap in the log the publication may have come and gone unseen.
+    // After a gap in the log, the publication may have been accepted and replaced without being
+    // read.
     return entry.verdict == Verdict::Anchored ? PublishResult::Unknown : PublishResult::LostRace;
 }
 
@@ -148,7 +149,7 @@
         try {
             co_await m_log.append(history.stream(), record);
         } catch (const Core::Error &) {
-            // The append may have taken effect all the same; the log says.
+            // The append may have taken effect anyway; reading the log shows whether it did.
             failed = true;
         }
         try {
--- a/Libraries/LibConfiguration/Publisher.h
+++ b/Libraries/LibConfiguration/Publisher.h
@@ -19,40 +19,41 @@
 {
     std::string environment;
     std::string bytes;
-    /// The generation that the author edited; the one in force when nothing is given.
+    /// The generation that the author edited; defaults to the active one.
     std::optional<Generation> replaces;
     std::string publisher;
     std::optional<PromotionSource> promotedFrom;
 };
 
 enum class PublishResult {
-    /// The log has accepted the document.
+    /// The document was accepted.
     Accepted,
-    /// Another publication replaced the generation first; this one can never come into force.
+    /// Another publication replaced the generation first; this one can never become active.
     LostRace,
-    /// Nothing was found out before the deadline; the document may still come into force.
+    /// The outcome was not known before the deadline; the document may still become active.
     Unknown,
 };
 
 struct PublishOutcome
 {
     PublishResult result = PublishResult::Unknown;
-    /// The generation in force by the log, as last read.
+    /// The active generation according to the last read of the log.
     Generation generation = 0;
     std::string digest;
-    /// Who published the generation in force, where that is known.
+    /// The publisher of the active generation, if known.
     std::string publisher;
 };
 
-/// Publishes documents and reads back what the log has decided. An append whose answer was lost is
-/// looked for in the log and appended again when it is not there; both copies carry the same
-/// publication id and replace the same generation, so at most one of them counts.
+/// Publishes documents and reads the outcome back from the log. When the answer to an append is
+/// lost, the publisher searches the log for the record and appends it again if it is missing. Both
+/// copies have the same publication id and replace the same generation, so at most one of them
+/// takes effect.
 class Publisher
 {
 public:
     struct Options
     {
-        /// How long to try before the outcome is given up as unknown.
+        /// The time limit after which the outcome is reported as unknown.
         std::chrono::milliseconds timeout = std::chrono::seconds(30);
         std::chrono::milliseconds firstRetry = std::chrono::milliseconds(100);
         std::chrono::milliseconds maxRetryDelay = std::chrono::seconds(2);
@@ -61,25 +62,26 @@
     Publisher(Platform::LogService &log, const Core::Clock &clock, std::mt19937_64 &random,
               Options options);
 
-    /// Publishes and learns the verdict. Throws ConfigurationInvalid for a document with faults,
-    /// ConfigurationConflict when the replaced generation is not in force, and PlatformUnavailable
-    /// when the log could not be read before anything was appended.
+    /// Publishes a document and returns the outcome. Throws ConfigurationInvalid when the document
+    /// has faults, ConfigurationConflict when the replaced generation is not active, and
+    /// PlatformUnavailable when the log could not be read before the append.
     boost::asio::awaitable<PublishOutcome> publish(PublishRequest request);
 
-    /// Starts a stream over whose records no longer lead to a state, by a renewal of the document
-    /// at a generation above all that any instance has in force. Throws as publish() does, and
-    /// ConfigurationConflict while the log still leads to a state.
+    /// Restarts a stream whose remaining records no longer determine a state, by appending a
+    /// renewal of the document. The generation must be above the active one of every instance.
+    /// Throws like publish(), and throws ConfigurationConflict while the log still determines a
+    /// state.
     boost::asio::awaitable<PublishOutcome> restart(PublishRequest request, Generation generation);
 
     using Visitor = std::function<void(const HistoryEntry &)>;
-    /// Reads a history on to its present end, calling the visitor for each record. Throws
-    /// PlatformUnavailable after the patience has run out.
+    /// Reads a history to the current end of the log and calls the visitor for each record. Throws
+    /// PlatformUnavailable after the timeout.
     boost::asio::awaitable<void> readHistory(ConfigurationHistory &history, Visitor visitor);
 
 private:
     boost::asio::awaitable<void> readToEnd(ConfigurationHistory &history, const Visitor &visitor);
-    /// Appends the record and reads the log on, again and again until the visitor's work is done or
-    /// the patience has run out.
+    /// Appends the record and reads the log. Repeats both after failures until the visitor has set
+    /// decided or the timeout expires.
     boost::asio::awaitable<void> appendUntil(const bool &decided, ConfigurationHistory &history,
                                              std::string record, const Visitor &observe);
     /// Waits before a retry; throws PlatformUnavailable when the deadline would pass.
--- a/Libraries/LibConfiguration/RetryDelay.h
+++ b/Libraries/LibConfiguration/RetryDelay.h
@@ -5,16 +5,17 @@
 
 namespace Configuration {
 
-/// Waiting times between attempts: doubled each time up to a limit, each drawn at random from the
-/// upper half, so that instances that failed together do not come back together.
+/// Exponential back-off with jitter. The delay doubles up to a limit, and each delay is chosen at
+/// random from the upper half of its range, so that instances that failed together do not retry
+/// together.
 class RetryDelay
 {
 public:
     RetryDelay(std::chrono::milliseconds first, std::chrono::milliseconds longest);
 
-    /// The time to wait before the next attempt.
+    /// Returns the time to wait before the next attempt.
     std::chrono::milliseconds next(std::mt19937_64 &random);
-    /// Starts over after a success.
+    /// Resets the delay after a success.
     void reset() { m_bound = m_first; }
 
 private:
--- a/Libraries/LibConfiguration/Share.h
+++ b/Libraries/LibConfiguration/Share.h
@@ -5,7 +5,7 @@
 
 namespace Configuration {
 
-/// A share of a whole, kept in millionths so that sums of shares are exact on every instance.
+/// A fraction from 0 to 1, stored in millionths so that sums are exact on every instance.
 class Share
 {
 public:
@@ -15,7 +15,7 @@
     static constexpr Share fromMillionths(std::uint32_t count) { return Share(count); }
 
     constexpr std::uint32_t millionths() const { return m_millionths; }
-    /// The share as a number from 0 to 1.
+    /// Returns the share as a number from 0 to 1.
     constexpr double value() const { return static_cast<double>(m_millionths) / Whole; }
 
     friend constexpr auto operator<=>(Share, Share) = default;
--- a/Libraries/LibConfiguration/TableReader.h
+++ b/Libraries/LibConfiguration/TableReader.h
@@ -40,10 +40,10 @@
     std::vector<std::string> hashes(std::string_view name) const;
     std::string choice(std::string_view name) const;
     std::string pathPrefix(std::string_view name) const;
-    /// One reader for each entry of a list of tables.
+    /// Returns a reader for each entry of a list of tables.
     std::vector<TableReader> tables(std::string_view name) const;
 
-    /// Adds a fault at the field, or at the table where the field is absent.
+    /// Adds a fault at the position of the field, or of the table when the field is missing.
     void addFault(std::string_view name, std::string message) const;
 
 private:
--- a/Libraries/LibConfiguration/UpstreamGroup.h
+++ b/Libraries/LibConfiguration/UpstreamGroup.h
@@ -12,25 +12,26 @@
     Service,
 };
 
-/// A group of interchangeable upstreams. The platform's instance list says which processes belong
-/// to it in an environment.
+/// A group of interchangeable upstreams. The platform's instance list determines its members in an
+/// environment.
 struct UpstreamGroup
 {
     Core::UpstreamGroupId id;
     UpstreamKind kind = UpstreamKind::Engine;
-    /// How many requests one worker runs at a time.
+    /// The number of requests that one worker runs concurrently.
     std::uint32_t slotsPerWorker = 1;
-    /// The length of one cache piece, in tokens. Engines only.
+    /// The size of one cache block, in tokens. Engines only.
     std::uint32_t pieceTokens = 0;
-    /// Whether the upstreams refuse an order that carries an old fencing number.
+    /// Whether the upstreams reject a command with an outdated fencing token.
     bool checksFencing = false;
-    /// How many workers may load weights at a time. Engines only.
+    /// The number of workers that may load weights concurrently. Engines only.
     std::uint32_t concurrentWeightLoads = 0;
-    /// How many requests may wait before the group over all classes, per instance.
+    /// The maximum number of queued requests of the group over all classes, per instance.
     std::uint32_t queueRequests = 0;
-    /// Retries as a share of recent successes.
+    /// The retry budget as a share of recent successes.
     Share retryBudget;
-    /// Retries a second that are always allowed, so that a quiet group can still retry.
+    /// Retries per second that are always allowed, so that a group with few requests can still
+    /// retry.
     std::uint32_t retriesPerSecond = 0;
 };
 
--- a/Libraries/LibMetrics/BucketText.h
+++ b/Libraries/LibMetrics/BucketText.h
@@ -11,7 +11,7 @@
 
 namespace Metrics {
 
-/// One histogram series in the Prometheus text format, with cumulative buckets.
+/// Renders one histogram series in the Prometheus text format, with cumulative buckets.
 template <typename Histogram>
 std::string renderBuckets(const std::string &name, const Labels &labels, const Histogram &histogram,
                           double sum, std::uint64_t count)
--- a/Libraries/LibMetrics/Counter.h
+++ b/Libraries/LibMetrics/Counter.h
@@ -9,17 +9,17 @@
 
 namespace Metrics {
 
-/// A count that only grows, by labels and one more label whose name is fixed. Safe from any thread.
+/// A monotonic counter by team, class and an optional additional label. Thread-safe.
 class Counter final : public Family
 {
 public:
-    /// Of all series; further ones are counted under the value "other".
+    /// The maximum number of series. Further ones are counted under the label value "other".
     static constexpr std::size_t MaxSeries = 20'000;
 
     Counter(std::string name, std::string help, std::string labelName = {});
 
     void add(std::uint64_t count, const Labels &labels = {}, const std::string &label = {});
-    /// The sum over all series.
+    /// Returns the sum of all series.
     std::uint64_t total() const;
     std::string render() const override;
 
--- a/Libraries/LibMetrics/DurationHistogram.h
+++ b/Libraries/LibMetrics/DurationHistogram.h
@@ -15,15 +15,15 @@
 
 namespace Metrics {
 
-/// Times by team and class, in buckets that grow by a constant factor from 0.1 ms to 1,000 s.
-/// Safe from any thread.
+/// A histogram of durations by team and class, with logarithmic buckets from 0.1 ms to 1,000 s.
+/// Thread-safe.
 class DurationHistogram final : public Family
 {
 public:
     DurationHistogram(std::string name, std::string help);
 
     void observe(std::chrono::nanoseconds time, const Labels &labels);
-    /// The upper bound of the bucket that holds the share's quantile over all series; zero when
+    /// Returns the upper bound of the bucket that contains the quantile over all series; zero when
     /// nothing was observed.
     std::chrono::duration<double> quantile(double share) const;
     std::string render() const override;
--- a/Libraries/LibMetrics/Gauge.h
+++ b/Libraries/LibMetrics/Gauge.h
@@ -8,8 +8,8 @@
 
 namespace Metrics {
 
-/// Values that are read when they are rendered, by one label whose name is fixed. For the thread
-/// that renders.
+/// A gauge whose values are read when it is rendered. The reader function is called on the
+/// rendering thread.
 class Gauge final : public Family
 {
 public:
@@ -20,7 +20,7 @@
     };
     using Reader = std::function<std::vector<Sample>()>;
 
-    /// Samples have no label when the label's name is empty.
+    /// Samples have no label when the label name is empty.
     Gauge(std::string name, std::string help, std::string labelName, Reader read);
 
     std::string render() const override;
--- a/Libraries/LibMetrics/Labels.h
+++ b/Libraries/LibMetrics/Labels.h
@@ -7,23 +7,23 @@
 
 namespace Metrics {
 
-/// The labels of one series of a request: the team that called and the priority class of its work.
+/// The labels of a series: the calling team and the priority class of its request.
 struct Labels
 {
     std::string team;
     std::string priorityClass;
 
-    // The linter takes the comparison with zero that this implies for a null pointer.
+    // The linter mistakes the implicit comparison with 0 for a null pointer.
     friend auto operator<=>(const Labels &,
                             const Labels &) = default; // NOLINT(modernize-use-nullptr)
 };
 
-/// The labels in the Prometheus text format, with an extra pair unless its name is empty:
+/// Formats the labels in the Prometheus text format, with an extra label unless its name is empty:
 /// {team="a",class="b",le="0.1"}.
 std::string formatLabels(const Labels &labels, std::string_view extraName = {},
                          std::string_view extraValue = {});
 
-/// A family of series under one name, rendered in the Prometheus text format.
+/// A metric family: all series with the same name.
 class Family
 {
 public:
@@ -35,7 +35,7 @@
     virtual std::string render() const = 0;
 
 protected:
-    /// The HELP and TYPE lines.
+    /// Returns the HELP and TYPE lines.
     std::string header(std::string_view type) const;
     const std::string &name() const { return m_name; }
 
--- a/Libraries/LibMetrics/RatioHistogram.cpp
+++ b/Libraries/LibMetrics/RatioHistogram.cpp
@@ -22,7 +22,7 @@
 {
     const std::scoped_lock lock(m_mutex);
     auto &series = m_series[labels];
-    // The last bucket is open above, and a ratio of one belongs into it.
+    // The last bucket has no upper limit and includes a ratio of 1.
     series.histogram(std::min(ratio, std::nextafter(1.0, 0.0)));
     series.sum += ratio;
     ++series.count;
--- a/Libraries/LibMetrics/RatioHistogram.h
+++ b/Libraries/LibMetrics/RatioHistogram.h
@@ -13,7 +13,7 @@
 
 namespace Metrics {
 
-/// Ratios from 0 to 1 by team and class, in ten buckets. Safe from any thread.
+/// A histogram of ratios from 0 to 1 by team and class, with ten buckets. Thread-safe.
 class RatioHistogram final : public Family
 {
 public:
--- a/Libraries/LibMetrics/Registry.h
+++ b/Libraries/LibMetrics/Registry.h
@@ -7,12 +7,13 @@
 
 namespace Metrics {
 
-/// The families that one process exports. Families are added at start and must outlive it.
+/// The metric families that a process exports. Families are added at startup and must outlive the
+/// registry.
 class Registry
 {
 public:
     void add(const Family &family) { m_families.push_back(&family); }
-    /// Everything in the Prometheus text format.
+    /// Renders all families in the Prometheus text format.
     std::string render() const;
 
 private:
--- a/Libraries/LibPlatform/EmbeddedLogService.cpp
+++ b/Libraries/LibPlatform/EmbeddedLogService.cpp
@@ -7,7 +7,7 @@
 namespace Platform {
 
 namespace {
-// How often a waiting read looks for a new record.
+// The interval at which a waiting read checks for a new record.
 constexpr std::chrono::milliseconds PollPeriod {2};
 } // namespace
 
--- a/Libraries/LibPlatform/EmbeddedLogService.h
+++ b/Libraries/LibPlatform/EmbeddedLogService.h
@@ -5,8 +5,8 @@
 
 namespace Platform {
 
-/// A log service inside the process, for sites without a platform. It forgets everything when the
-/// process ends, so that a key used before a restart can run again after it.
+/// An in-process log service for sites without a platform. Its records are lost when the process
+/// ends, so a call with an idempotency key from before a restart can run again.
 class EmbeddedLogService final : public LogService
 {
 public:
--- a/Libraries/LibPlatform/HttpInstanceDirectory.h
+++ b/Libraries/LibPlatform/HttpInstanceDirectory.h
@@ -5,7 +5,7 @@
 
 namespace Platform {
 
-/// The instance list over the platform's HTTP interface (docs/STAND-INS.md).
+/// Reads the instance list over the platform's HTTP interface (docs/STAND-INS.md).
 class HttpInstanceDirectory final : public InstanceDirectory
 {
 public:
--- a/Libraries/LibPlatform/InMemoryLog.h
+++ b/Libraries/LibPlatform/InMemoryLog.h
@@ -13,8 +13,8 @@
 
 namespace Platform {
 
-/// An append-only log kept in memory, with retention. Serves as the embedded platform of small
-/// sites and as the core of stand-ins. Safe from any thread.
+/// An in-memory append-only log with retention. Used by the embedded platform of small sites and by
+/// the stand-ins. Thread-safe.
 class InMemoryLog
 {
 public:
@@ -24,7 +24,8 @@
     LogOffset append(const std::string &stream, std::string data);
     LogPage read(const std::string &stream, LogOffset from, std::size_t limit);
 
-    /// A hook called after each append, outside the lock, so that waiting readers can be woken.
+    /// Sets a hook that is called after each append, without the lock held, so that it can wake
+    /// waiting readers.
     void setAppendHook(std::function<void(const std::string &stream)> hook);
 
 private:
--- a/Libraries/LibPlatform/InstanceList.h
+++ b/Libraries/LibPlatform/InstanceList.h
@@ -32,7 +32,7 @@
     InstanceRole role = InstanceRole::Upstream;
     /// The upstream group; empty for entry instances.
     Core::UpstreamGroupId group;
-    /// Where work goes; for entry instances the peer port.
+    /// The address for requests; for entry instances the peer port.
     Http::Endpoint address;
     /// An entry instance's admin port.
     std::optional<Http::Endpoint> admin;
@@ -41,21 +41,21 @@
     std::uint64_t incarnation = 0;
 };
 
-/// The platform's list of live and leaving instances, which lags behind the truth.
+/// The platform's list of live and leaving instances, which may be out of date.
 struct InstanceList
 {
     std::vector<ListedInstance> instances;
 };
 
-/// Reads the list's JSON. Fails with PlatformUnavailable when it is not valid.
+/// Parses the JSON of the list. Fails with PlatformUnavailable when it is invalid.
 Core::Result<InstanceList> parseInstanceList(std::string_view json);
 
-/// Where an instance learns of the others.
+/// A source of the instance list.
 class InstanceDirectory
 {
 public:
     virtual ~InstanceDirectory() = default;
-    /// The present list. Throws Error(PlatformUnavailable) when no answer came.
+    /// Returns the current list. Throws Error(PlatformUnavailable) when there is no answer.
     virtual boost::asio::awaitable<InstanceList> list() = 0;
 };
 
--- a/Libraries/LibPlatform/LogRecord.h
+++ b/Libraries/LibPlatform/LogRecord.h
@@ -7,23 +7,23 @@
 
 namespace Platform {
 
-/// A position in a stream of the log. Offsets start at 0 and grow by one a record.
+/// The position of a record in a stream. Offsets start at 0 and are consecutive.
 using LogOffset = std::uint64_t;
 
-/// One record as the log keeps it.
+/// One record of the log.
 struct LogRecord
 {
     LogOffset offset = 0;
-    /// When the log took the record, by the log's own clock.
+    /// When the log stored the record, by the log's own clock.
     std::chrono::system_clock::time_point time;
     std::string data;
 };
 
-/// What one read returns.
+/// The result of one read.
 struct LogPage
 {
-    /// The lowest offset that retention has kept; greater than the offset asked for when records
-    /// in between are gone.
+    /// The lowest retained offset. It is greater than the requested offset when records have been
+    /// dropped.
     LogOffset first = 0;
     /// The offset that the next append will get.
     LogOffset next = 0;
--- a/Libraries/LibPlatform/LogService.h
+++ b/Libraries/LibPlatform/LogService.h
@@ -10,9 +10,9 @@
 
 namespace Platform {
 
-/// The platform's append-only log service: named streams of records in one total order each.
-/// Both calls throw Error(PlatformUnavailable) when no answer came; an append may then have
-/// taken effect all the same.
+/// The platform's append-only log service. Each named stream is a totally ordered sequence of
+/// records. Both functions throw Error(PlatformUnavailable) when there is no answer; an append may
+/// have taken effect in that case.
 class LogService
 {
 public:
@@ -21,8 +21,8 @@
     /// Appends one record and returns its offset.
     virtual boost::asio::awaitable<LogOffset> append(std::string stream, std::string data) = 0;
 
-    /// Reads up to limit records from the given offset on. With nothing to read, waits for a
-    /// record for at most the given time.
+    /// Reads up to limit records starting at the given offset. If there are none, waits up to the
+    /// given time for a record.
     virtual boost::asio::awaitable<LogPage>
     read(std::string stream, LogOffset from, std::size_t limit, std::chrono::milliseconds wait) = 0;
 };
--- a/Libraries/LibPlatform/PlatformClient.cpp
+++ b/Libraries/LibPlatform/PlatformClient.cpp
@@ -22,8 +22,7 @@
     timeouts.head = m_limit + wait;
     timeouts.body = m_limit;
     try {
-        // A kept connection is safe even for appends: every reader counts a record twice appended
-        // as one.
+        // Reusing a connection is safe even for appends, because readers ignore duplicate records.
         const auto response = co_await m_client.fetch(m_endpoint, std::move(request), timeouts);
         if (response.status != StatusOk)
             throw Core::Error(Core::ErrorKind::PlatformUnavailable,
--- a/Libraries/LibPlatform/PlatformClient.h
+++ b/Libraries/LibPlatform/PlatformClient.h
@@ -14,10 +14,10 @@
 class PlatformClient
 {
 public:
-    /// The limit holds for one call beyond the time that the call asks the platform to wait.
+    /// The limit applies to one call, in addition to the time that the platform is asked to wait.
     PlatformClient(Http::Endpoint endpoint, std::chrono::milliseconds limit);
 
-    /// Sends the request and returns the JSON answer of a 200.
+    /// Sends the request and returns the JSON body of a response with status 200.
     boost::asio::awaitable<boost::json::value> call(Http::Request request,
                                                     std::chrono::milliseconds wait);
 
--- a/Services/jujubesaddled/Daemon.cpp
+++ b/Services/jujubesaddled/Daemon.cpp
@@ -173,7 +173,7 @@
                                                               m_settings.clockSkew,
                                                               m_settings.logRetention, ClaimMargin)
                                         .value()};
-    // Nobody else reads an embedded log, so that more streams would only cost reads.
+    // No other instance reads an embedded log, so more streams would only cost additional reads.
     if (m_embeddedLog)
         settings.partitions = 1;
     settings.environment = m_settings.environment;
--- a/Services/jujubesaddled/Daemon.h
+++ b/Services/jujubesaddled/Daemon.h
@@ -24,7 +24,7 @@
 
 namespace Daemon {
 
-/// The whole process: the parts of an entry instance, wired together.
+/// Owns and connects the components of an entry instance.
 class Daemon
 {
 public:
@@ -33,9 +33,9 @@
     static Core::Result<std::unique_ptr<Daemon>> create(const Settings &settings);
     ~Daemon();
 
-    /// Blocks until a signal asks the process to end, then shuts down without cutting a request.
+    /// Blocks until SIGTERM or SIGINT, then waits for running requests, up to the drain limit.
     void runUntilSignal();
-    /// Ends all threads.
+    /// Stops all threads.
     void stop();
 
 private:
@@ -72,12 +72,12 @@
     Router::LoadProber m_loadProber;
     Router::RequestRouter m_router;
     Router::AdminPort m_adminPort;
-    /// Background work stays off the threads that serve requests.
+    /// Runs background work, separate from the threads that serve requests.
     Core::IoThreads m_controlThread {1};
     Core::IoThreads m_requestThreads;
     /// Null without a peer port.
     std::unique_ptr<Siblings::SiblingService> m_siblings;
-    /// Of the embedded document; all zeros before the log has told any.
+    /// The limits of the embedded document; all zeros with a remote platform.
     Configuration::Limits m_limits;
     std::unique_ptr<Http::Server> m_server;
     std::unique_ptr<Http::Server> m_adminServer;
--- a/Services/jujubesaddled/Settings.cpp
+++ b/Services/jujubesaddled/Settings.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t MaxThreads = 256;
 constexpr std::size_t MinPeerKeyBytes = 16;
 
-/// The settings as they were written, before the check.
+/// The settings as given, before validation.
 struct RawSettings
 {
     std::string listen = "127.0.0.1:8080";
@@ -81,7 +81,7 @@
     app.set_version_flag("--version", std::string("jujubesaddled ") + JUJUBE_VERSION);
 }
 
-/// Collects faults while it turns text into typed settings.
+/// Converts text to typed settings and collects faults.
 class Checker
 {
 public:
--- a/Services/jujubesaddled/Settings.h
+++ b/Services/jujubesaddled/Settings.h
@@ -19,10 +19,11 @@
     Http::Endpoint endpoint;
 };
 
-/// How much longer the log keeps a claim than its key is acceptable, beyond the clocks' skew.
+/// The minimum time that the log keeps a claim after its key has expired, in addition to the clock
+/// skew.
 constexpr std::chrono::milliseconds ClaimMargin {60'000};
 
-/// The daemon's settings, checked.
+/// The validated settings of the daemon.
 struct Settings
 {
     Http::Endpoint listen;
@@ -40,7 +41,7 @@
     std::size_t threads = 1;
     std::chrono::milliseconds drainGrace {0};
     std::chrono::milliseconds drainLimit {0};
-    /// How long an idempotency key is acceptable at the most.
+    /// The maximum time that an idempotency key is accepted.
     std::chrono::milliseconds keyWindow {0};
     /// How long the platform's log keeps a record.
     std::chrono::milliseconds logRetention {0};
@@ -58,28 +59,28 @@
     std::string message;
 };
 
-/// What the command line asks for besides running.
+/// The action that the command line selects.
 enum class Action {
     Run,
     /// Only check the settings.
     Check,
     PrintSettings,
-    /// The command line was answered already (help, version) or could not be read.
+    /// Exit without running: help or version was printed, or the command line is invalid.
     Exit,
 };
 
-/// The command line, read.
+/// The parsed command line.
 struct CommandLine
 {
     Action action = Action::Run;
     int exitCode = 0;
     Settings settings;
     std::vector<SettingFault> faults;
-    /// One line a setting, for --print-settings. Never holds a key.
+    /// One line per setting, for --print-settings. Never contains a key.
     std::string printed;
 };
 
-/// Reads flags and environment variables, and names every fault at once.
+/// Parses flags and environment variables and reports all faults.
 CommandLine readCommandLine(int argc, const char *const *argv);
 
 } // namespace Daemon
--- a/Services/jujubesaddled/main.cpp
+++ b/Services/jujubesaddled/main.cpp
@@ -27,8 +27,9 @@
         std::cerr << daemon.error().what() << '\n';
         return ExitBadSettings;
     }
-    // Coroutines that still wait in its contexts and the parts that they use refer to each other,
-    // so that no order of destruction is right. With its threads ended it is left to the process.
+    // Suspended coroutines in its contexts and the components that they use refer to each other, so
+    // no order of destruction is safe. After its threads have stopped, the daemon is deliberately
+    // not destroyed.
     static Daemon::Daemon *const running = daemon.value().release();
     running->runUntilSignal();
     running->stop();
--- a/Tests/Documents/Pages.cpp
+++ b/Tests/Documents/Pages.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The cells of one line of a Markdown table, without blanks and code marks.
+/// Returns the cells of one line of a Markdown table, without surrounding spaces and backticks.
 Cells cellsOf(const std::string &line)
 {
     Cells cells;
@@ -64,7 +64,7 @@
               == row);
         CHECK_FALSE(found->second.back().empty());
     }
-    // Each expected row was found once, so that any further row of the page has no counterpart.
+    // Every expected row was found above, so any further row of the page is not expected.
     CHECK(written.size() == expected.size());
 }
 
--- a/Tests/Documents/TestSettingsPage.cpp
+++ b/Tests/Documents/TestSettingsPage.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// What the daemon prints for --help.
+/// Returns the output of the daemon for --help.
 std::string helpText()
 {
     std::ostringstream captured;
@@ -30,7 +30,7 @@
     for (std::sregex_iterator it(help.begin(), help.end(), option), end; it != end; ++it)
         expected.push_back({(*it)[1].str(), (*it)[4].str(), (*it)[3].str()});
     CHECK(expected.size() > 1);
-    // The page says in words what an empty default means.
+    // The page describes an empty default in words.
     auto written = Documents::tableRows("OPERATIONS.md", "flag");
     for (auto &row : expected) {
         const auto found = written.find(row.front());
--- a/Tests/LibConfiguration/Examples.h
+++ b/Tests/LibConfiguration/Examples.h
@@ -5,7 +5,7 @@
 #include <stdexcept>
 #include <string>
 
-/// The bytes of a file of the source tree.
+/// Returns the contents of a file of the source tree.
 inline std::string sourceFile(const std::string &path)
 {
     std::ifstream input(std::string(JUJUBE_SOURCE_DIRECTORY) + '/' + path, std::ios::binary);
--- a/Tests/LibConfiguration/FakeLogService.h
+++ b/Tests/LibConfiguration/FakeLogService.h
@@ -15,8 +15,8 @@
 #include <utility>
 #include <vector>
 
-/// A log service with faults to order. Each call yields a random number of times, so that callers
-/// interleave by seed.
+/// A log service with injected failures. Each call yields a random number of times, so that the
+/// interleaving of callers depends on the seed.
 class FakeLogService final : public Platform::LogService
 {
 public:
@@ -26,12 +26,11 @@
         , m_random(seed)
     { }
 
-    /// Neither reads nor appends are answered, and no append takes effect.
+    /// Reads and appends fail, and no append takes effect.
     bool isUnavailable = false;
-    /// How many per cent of the appends take effect but are not answered.
+    /// The percentage of appends that take effect but fail.
     unsigned lostAnswerPercent = 0;
-    /// How many per cent of the appends are not answered and take effect at
-    /// releaseDelayedAppends().
+    /// The percentage of appends that fail and take effect at releaseDelayedAppends().
     unsigned delayedAppendPercent = 0;
 
     boost::asio::awaitable<Platform::LogOffset> append(std::string stream,
--- a/Tests/LibConfiguration/SampleDocuments.h
+++ b/Tests/LibConfiguration/SampleDocuments.h
@@ -6,19 +6,19 @@
 
 #include <string>
 
-/// A small valid document, another one for each number.
+/// Returns a small valid document that differs for each number.
 inline std::string sampleDocument(unsigned number)
 {
     return "# edit " + std::to_string(number) + '\n' + sourceFile("Examples/small-site.toml");
 }
 
-/// A document with an unknown field.
+/// Returns a document with an unknown field.
 inline std::string invalidDocument(unsigned number)
 {
     return sampleDocument(number) + "no_such_field = 1\n";
 }
 
-/// A publication of the document in place of the base.
+/// Returns a publication that replaces the base with the document.
 inline Configuration::Publication samplePublication(Configuration::Generation replaces,
                                                     const std::string &base,
                                                     const std::string &document,
--- a/Tests/LibConfiguration/TestConfigurationHistory.cpp
+++ b/Tests/LibConfiguration/TestConfigurationHistory.cpp
@@ -127,7 +127,8 @@
     fixture.clock.advance(9s);
     fixture.append(stale);
     fixture.clock.advance(2s);
-    // The publication of generation 2 is gone; only the renewal of generation 1 is left.
+    // Retention has dropped the publication of generation 2; only the renewal of generation 1
+    // remains.
     ConfigurationHistory late(Environment);
     CHECK(fixture.read(late) == Verdicts {Verdict::Skipped});
     CHECK_FALSE(late.isAnchored());
@@ -169,7 +170,7 @@
     fixture.read();
     auto other = older;
     other.generation = 2;
-    // A record that is dropped unread makes the gap.
+    // Retention drops an unread record, which causes a gap.
     fixture.log.append(Stream, "garbage");
     fixture.clock.advance(11s);
     older.foldedTo = other.foldedTo = 3;
--- a/Tests/LibConfiguration/TestConfigurationReader.cpp
+++ b/Tests/LibConfiguration/TestConfigurationReader.cpp
@@ -22,7 +22,7 @@
 constexpr const char *Environment = "trial";
 constexpr const char *Stream = "configuration.trial";
 
-/// Several readers of one log on one thread, driven until something holds.
+/// Runs several readers of one log on one thread.
 struct Fixture
 {
     explicit Fixture(std::uint64_t seed = 1)
@@ -51,8 +51,8 @@
             service, readerClock, random,
             Configuration::ReaderHooks {.onAccepted =
                                             [this](const auto &it) {
-                                                // Some announcements are slow, so that others could
-                                                // overtake them.
+                                                // Slow hooks give other threads the chance to
+                                                // announce a version first.
                                                 if (isSlowToAnnounce && it.generation % 2 == 0)
                                                     std::this_thread::sleep_for(1ms);
                                                 accepted.push_back(it.generation);
@@ -69,7 +69,7 @@
         log.append(Stream,
                    encodeRecord(Environment, samplePublication(replaces, base, document, id)));
     }
-    /// Lets the readers work until the condition holds; false when it never does.
+    /// Runs the readers until the condition holds. Returns false when it never does.
     template <typename Condition>
     bool runUntil(Condition holds)
     {
@@ -133,7 +133,7 @@
     CHECK(reader.adoptFromSibling(2, sampleDocument(2)).value());
     CHECK_FALSE(reader.adoptFromSibling(1, sampleDocument(1)).value());
     CHECK(reader.generation() == 2);
-    // Reading generation 1 again on the way to 2 puts nothing older in force.
+    // Reading generation 1 from the log afterwards does not activate an older version.
     fixture.service.isUnavailable = false;
     fixture.publish(2, sampleDocument(3));
     CHECK(fixture.runUntil([&] { return reader.generation() == 3; }));
@@ -193,8 +193,8 @@
     auto &late = fixture.start();
     CHECK(fixture.runUntil([&] { return late.generation() == 1; }));
     CHECK(late.current()->bytes == sampleDocument(1));
-    // Sixty seconds hold at most thirty intervals; every instance for itself would make 8 times
-    // as many.
+    // Sixty seconds contain at most thirty intervals. Without coordination, the 8 instances would
+    // append 8 times as many renewals.
     CHECK(kept.next < 60);
 }
 
--- a/Tests/LibConfiguration/TestDocumentFaults.cpp
+++ b/Tests/LibConfiguration/TestDocumentFaults.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Replaces the first occurrence of a part of the small example.
+/// Returns the small example with the first occurrence of a text replaced.
 std::string edited(const std::string &part, const std::string &other)
 {
     auto text = sourceFile("Examples/small-site.toml");
@@ -19,7 +19,8 @@
     return text.replace(at, part.size(), other);
 }
 
-/// Whether the document has a fault of the path and message, at the place where the marker stands.
+/// Returns whether the document has a fault with the path and message at the position of the
+/// marker.
 bool hasFault(const std::string &text, const std::string &marker, const std::string &path,
               const std::string &message)
 {
--- a/Tests/LibConfiguration/TestDocumentFuzz.cpp
+++ b/Tests/LibConfiguration/TestDocumentFuzz.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Changes a document at random places: bytes, copied or dropped spans, pieces of TOML.
+/// Mutates a document at random positions: changes bytes, copies or removes ranges, and inserts
+/// TOML fragments.
 std::string mutate(std::string text, std::mt19937_64 &random)
 {
     constexpr std::string_view Pieces[] = {"[",          "]",     "{",
--- a/Tests/LibConfiguration/TestFieldCatalogue.cpp
+++ b/Tests/LibConfiguration/TestFieldCatalogue.cpp
@@ -19,7 +19,7 @@
     return std::to_string(row.minimum) + " to " + std::to_string(row.maximum);
 }
 
-/// The line of docs/CONFIGURATION.md for one field.
+/// Returns the line of docs/CONFIGURATION.md for one field.
 std::string tableLine(const FieldRow &row)
 {
     std::ostringstream line;
@@ -30,7 +30,8 @@
     return line.str();
 }
 
-/// The field lines below the heading of each table, each with its table's name before it.
+/// Returns the field lines below the heading of each table, each prefixed with the name of its
+/// table.
 std::vector<std::string> documentedFields()
 {
     std::istringstream page(sourceFile("docs/CONFIGURATION.md"));
--- a/Tests/LibConfiguration/TestHistorySweep.cpp
+++ b/Tests/LibConfiguration/TestHistorySweep.cpp
@@ -23,7 +23,8 @@
 constexpr std::size_t Operators = 3;
 constexpr int Steps = 250;
 
-/// A history of racing operators, lagging, paused and restarting instances and passing retention.
+/// Simulates concurrent operators, lagging, disconnected and restarting instances, and records that
+/// expire.
 class Sweep
 {
 public:
@@ -52,7 +53,7 @@
     void step()
     {
         m_clock.advance(std::chrono::milliseconds(randomBelow(400)));
-        // A cut lets one instance read nothing for longer than the log keeps records.
+        // Disconnects one instance for longer than the retention of the log.
         if (randomBelow(60) == 0) {
             m_disconnectedInstance = randomBelow(Instances);
             m_disconnectedUntil = m_clock.now() + 15s;
@@ -79,7 +80,8 @@
         }
     }
 
-    /// An operator edits what it has read; the record is appended later, once, twice or never.
+    /// Lets an operator edit the document that it has read. The record is appended later: once,
+    /// several times or never.
     void prepare(std::size_t index)
     {
         auto &reader = m_readers[Instances + index];
@@ -119,7 +121,7 @@
         followReference();
     }
 
-    /// The reference reads each record as it comes and so never meets a gap.
+    /// The reference reads each record immediately and so never has a gap.
     void followReference()
     {
         for (const auto &it :
@@ -160,7 +162,7 @@
             REQUIRE(now.generation == m_reference.current()->generation);
     }
 
-    /// One renewal by a reader that knows the state brings every reader to it.
+    /// A renewal by a reader with the current state lets every reader restore that state.
     void renewAndSettle()
     {
         m_log.append(Stream, encodeRecord(Environment, m_reference.renewal("reference")));
@@ -199,7 +201,7 @@
         gaps += sweep.gaps();
         generations += sweep.generations();
     }
-    // The sweep counts only when it met what it is for.
+    // The test is meaningful only if gaps and publications occurred.
     CHECK(gaps > Seeds);
     CHECK(generations > Seeds);
 }
--- a/Tests/LibConfiguration/TestPublisher.cpp
+++ b/Tests/LibConfiguration/TestPublisher.cpp
@@ -41,7 +41,7 @@
     {
         return await(publisher.publish({.environment = Environment, .bytes = bytes}));
     }
-    /// The digests that the log has accepted, in order.
+    /// Returns the digests of the accepted documents, in order.
     std::vector<std::string> accepted()
     {
         std::vector<std::string> digests;
@@ -130,7 +130,7 @@
                     {.environment = Environment, .bytes = sampleDocument(static_cast<unsigned>(n))},
                     9),
                 [&outcomes, n](const std::exception_ptr &error, const PublishOutcome &outcome) {
-                    // The later one may find the stream started over already.
+                    // The second call may find that the stream has already been restarted.
                     outcomes[n] =
                         error ? PublishOutcome {.result = PublishResult::LostRace} : outcome;
                 });
