--- a/Tests/LibConfiguration/TestDocumentFaults.cpp
+++ b/Tests/LibConfiguration/TestDocumentFaults.cpp
@@ -78,7 +78,7 @@
     CHECK(hasFault(whole
                        + "\n[[priority_class]]\nid = \"late\"\nrank =  0\n"
                          "target_first_token_ms = 1\n",
-                   "0\ntarget_first_token_ms = 1\n", "priority_class[1].rank", "stands twice"));
+                   "0\ntarget_first_token_ms = 1\n", "priority_class[1].rank", "is a duplicate"));
 }
 
 TEST_CASE("every fault is reported at once, in the order of the text")
@@ -108,7 +108,7 @@
     CHECK_FALSE(Document::check("").document);
 }
 
-TEST_CASE("a document of a newer format is neither accepted nor judged")
+TEST_CASE("a document of a newer format is neither accepted nor validated")
 {
     const auto report = Document::check("format = 2\nnew_field = 1\n");
     CHECK_FALSE(report.document);
