--- a/Libraries/LibConfiguration/DocumentParser.cpp
+++ b/Libraries/LibConfiguration/DocumentParser.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t MaximumDocumentBytes = 8 * 1024 * 1024;
+constexpr std::size_t MaxDocumentBytes = 8 * 1024 * 1024;
 constexpr std::int64_t KnownFormat = 1;
 
 Limits readLimits(const TableReader &table)
@@ -97,12 +97,12 @@
     };
     for (const auto &it : table.tables("route")) {
         auto route = readRoute(it);
-        const bool again = std::any_of(
+        const bool isDuplicate = std::any_of(
             service.routes.begin(), service.routes.end(), [&](const ServiceRoute &other) {
                 return other.method == route.method && other.pathPrefix == route.pathPrefix;
             });
-        if (again)
-            it.addFault("path_prefix", "stands twice with the same method");
+        if (isDuplicate)
+            it.addFault("path_prefix", "is a duplicate for the same method");
         service.routes.push_back(std::move(route));
     }
     return service;
@@ -177,7 +177,7 @@
 std::optional<toml::value> parseToml(std::string_view text, std::vector<Fault> &faults)
 {
     try {
-        // The closing line break spares the library its handling of a text that ends without one.
+        // The final line break avoids the special case of the TOML library for text without one.
         std::istringstream input(std::string(text) + '\n');
         return toml::parse(input, "document");
     } catch (const toml::exception &error) {
@@ -189,8 +189,8 @@
     return std::nullopt;
 }
 
-/// True when the document names a format above the known one. Its other fields may then be ones
-/// that this program cannot judge.
+/// Returns whether the format of the document is above the known one. This program may not know its
+/// other fields.
 bool isOfNewerFormat(const toml::value &value)
 {
     const auto &fields = value.as_table(std::nothrow);
@@ -214,7 +214,7 @@
 ParsedDocument parseDocument(std::string_view text)
 {
     ParsedDocument parsed;
-    if (text.size() > MaximumDocumentBytes) {
+    if (text.size() > MaxDocumentBytes) {
         parsed.faults.push_back({1, 1, {}, "is larger than 8 MiB"});
         return parsed;
     }
@@ -227,7 +227,7 @@
         return parsed;
     if (isOfNewerFormat(*value)) {
         parsed.formatKnown = false;
-        parsed.faults.push_back({1, 1, "format", "is newer than this program"});
+        parsed.faults.push_back({1, 1, "format", "is newer than this program supports"});
         return parsed;
     }
     const TableReader root(*value, "", "", parsed.faults);
--- a/Libraries/LibConfiguration/Publisher.cpp
+++ b/Libraries/LibConfiguration/Publisher.cpp
@@ -20,7 +20,7 @@
 {
     return {
         .replaces = base.generation,
-        // The hash only turns random bytes into text.
+        // The hash only converts the random bytes to text.
         .publicationId = Core::sha256Hex(Core::secureRandomBytes(PublicationIdBytes)).substr(0, 32),
         .publisher = std::move(request.publisher),
         .digest = Core::sha256Hex(request.bytes),
@@ -33,24 +33,25 @@
 {
     if (!history.isAnchored())
         throw Core::Error(Core::ErrorKind::ConfigurationConflict,
-                          "the log holds no copy of the configuration to go on from");
+                          "the log contains no usable copy of the configuration");
     if (history.isHalted())
         throw Core::Error(Core::ErrorKind::ConfigurationConflict,
-                          "the log holds a document of a newer format; use a newer program");
+                          "the log contains a document of a newer format; use a newer program");
     const auto inForce = history.current()->generation;
     if (request.replaces && *request.replaces != inForce)
         throw Core::Error(Core::ErrorKind::ConfigurationConflict,
-                          "generation " + std::to_string(inForce) + " is in force, not "
+                          "generation " + std::to_string(inForce) + " is active, not "
                               + std::to_string(*request.replaces));
 }
 
-/// What the first record that settles a publication says of it.
+/// Returns the result of a publication from the first record that decides it.
 PublishResult resultOf(const HistoryEntry &entry, const Publication &publication)
 {
     const bool isOurs = entry.publicationId == publication.publicationId;
     if (isOurs && entry.verdict == Verdict::Accepted)
         return PublishResult::Accepted;
-    // After a gap in the log the publication may have come and gone unseen.
+    // After a gap in the log, the publication may have been accepted and replaced without being
+    // read.
     return entry.verdict == Verdict::Anchored ? PublishResult::Unknown : PublishResult::LostRace;
 }
 
@@ -66,8 +67,8 @@
 
 asio::awaitable<void> Publisher::readHistory(ConfigurationHistory &history, Visitor visitor)
 {
-    const auto deadline = m_clock.now() + m_options.patience;
-    RetryDelay delay(m_options.firstRetry, m_options.longestRetry);
+    const auto deadline = m_clock.now() + m_options.timeout;
+    RetryDelay delay(m_options.firstRetry, m_options.maxRetryDelay);
     for (;;) {
         try {
             co_await readToEnd(history, visitor);
@@ -93,16 +94,16 @@
     const auto record = encodeRecord(history.environment(), publication);
     PublishOutcome outcome;
     bool decided = false;
-    const auto look = [&](const HistoryEntry &entry) {
+    const auto observe = [&](const HistoryEntry &entry) {
         const bool isOurs = entry.publicationId == publication.publicationId;
-        const bool isLate = entry.version && entry.generation > publication.replaces;
-        if (decided || (!isOurs && !isLate))
+        const bool isSuperseded = entry.version && entry.generation > publication.replaces;
+        if (decided || (!isOurs && !isSuperseded))
             return;
         decided = true;
         outcome.result = resultOf(entry, publication);
         outcome.publisher = entry.publisher;
     };
-    co_await appendUntil(decided, history, record, look);
+    co_await appendUntil(decided, history, record, observe);
     outcome.generation = history.current()->generation;
     outcome.digest = history.current()->digest;
     co_return outcome;
@@ -116,19 +117,19 @@
     co_await readHistory(history, [](const auto &) {});
     if (history.isAnchored() || history.isHalted())
         throw Core::Error(Core::ErrorKind::ConfigurationConflict,
-                          "the log still leads to a document; publish in place of it");
+                          "the log still determines a document; publish a replacement instead");
     const ConfigurationRecord renewal = Renewal {
         .generation = generation,
         .digest = Core::sha256Hex(request.bytes),
-        .foldedTo = history.wanted(),
+        .foldedTo = history.nextOffset(),
         .renewer = request.publisher,
         .document = request.bytes,
     };
     bool decided = false;
-    const auto look = [&](const HistoryEntry &entry) {
+    const auto observe = [&](const HistoryEntry &entry) {
         decided |= entry.verdict == Verdict::Anchored;
     };
-    co_await appendUntil(decided, history, encodeRecord(history.environment(), renewal), look);
+    co_await appendUntil(decided, history, encodeRecord(history.environment(), renewal), observe);
     PublishOutcome outcome;
     outcome.generation = history.current()->generation;
     outcome.digest = history.current()->digest;
@@ -139,20 +140,20 @@
 }
 
 asio::awaitable<void> Publisher::appendUntil(const bool &decided, ConfigurationHistory &history,
-                                             std::string record, const Visitor &look)
+                                             std::string record, const Visitor &observe)
 {
-    const auto deadline = m_clock.now() + m_options.patience;
-    RetryDelay delay(m_options.firstRetry, m_options.longestRetry);
+    const auto deadline = m_clock.now() + m_options.timeout;
+    RetryDelay delay(m_options.firstRetry, m_options.maxRetryDelay);
     while (!decided) {
         bool failed = false;
         try {
             co_await m_log.append(history.stream(), record);
         } catch (const Core::Error &) {
-            // The append may have taken effect all the same; the log says.
+            // The append may have taken effect anyway; reading the log shows whether it did.
             failed = true;
         }
         try {
-            co_await readToEnd(history, look);
+            co_await readToEnd(history, observe);
         } catch (const Core::Error &) {
             failed = true;
         }
@@ -169,11 +170,11 @@
 asio::awaitable<void> Publisher::readToEnd(ConfigurationHistory &history, const Visitor &visitor)
 {
     for (;;) {
-        const auto page = co_await m_log.read(history.stream(), history.wanted(), PageRecords,
+        const auto page = co_await m_log.read(history.stream(), history.nextOffset(), PageRecords,
                                               std::chrono::milliseconds(0));
-        for (const auto &it : history.take(page))
+        for (const auto &it : history.processPage(page))
             visitor(it);
-        if (history.wanted() >= page.next || history.isHalted())
+        if (history.nextOffset() >= page.next || history.isHalted())
             co_return;
     }
 }
--- a/Services/jujubesaddled/Settings.cpp
+++ b/Services/jujubesaddled/Settings.cpp
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr int ExitBadSettings = 2;
-constexpr std::size_t MostThreads = 256;
-constexpr std::size_t ShortestPeerKeyBytes = 16;
+constexpr std::size_t MaxThreads = 256;
+constexpr std::size_t MinPeerKeyBytes = 16;
 
-/// The settings as they were written, before the check.
+/// The settings as given, before validation.
 struct RawSettings
 {
     std::string listen = "127.0.0.1:8080";
@@ -52,7 +52,7 @@
     add("--admin", raw.admin, "JUJUBE_ADMIN", "Operators' port, ADDRESS:PORT");
     add("--peer", raw.peer, "JUJUBE_PEER", "Siblings' port, ADDRESS:PORT; empty for none");
     add("--instance", raw.instance, "JUJUBE_INSTANCE", "This instance's name");
-    add("--data-centre", raw.dataCentre, "JUJUBE_DATA_CENTRE", "The data centre it stands in");
+    add("--data-centre", raw.dataCentre, "JUJUBE_DATA_CENTRE", "The data centre of this instance");
     add("--environment", raw.environment, "JUJUBE_ENVIRONMENT", "trial, production, ...");
     add("--platform", raw.platform, "JUJUBE_PLATFORM", "ADDRESS:PORT, or embedded");
     add("--config", raw.configurationFile, "JUJUBE_CONFIG",
@@ -63,7 +63,7 @@
         "File with the key that siblings share; or give it in JUJUBE_PEER_KEY");
     add("--threads", raw.threads, "JUJUBE_THREADS", "Threads for requests; empty for one a core");
     add("--drain-grace-ms", raw.drainGraceMs, "JUJUBE_DRAIN_GRACE_MS",
-        "How long a shutdown goes on refusing new requests before it closes the port");
+        "How long a shutdown rejects new requests before it closes the port");
     add("--drain-limit-ms", raw.drainLimitMs, "JUJUBE_DRAIN_LIMIT_MS",
         "How long a shutdown waits for running requests");
     add("--key-window-s", raw.keyWindowS, "JUJUBE_KEY_WINDOW_S",
@@ -81,7 +81,7 @@
     app.set_version_flag("--version", std::string("jujubesaddled ") + JUJUBE_VERSION);
 }
 
-/// Collects faults while it turns text into typed settings.
+/// Converts text to typed settings and collects faults.
 class Checker
 {
 public:
@@ -160,20 +160,20 @@
 
 void checkTimes(const RawSettings &raw, Settings &settings, Checker &checker)
 {
-    constexpr std::size_t LongestSeconds = 366UL * 24 * 3600;
-    constexpr std::size_t LongestMs = 3'600'000;
+    constexpr std::size_t MaxSeconds = 366UL * 24 * 3600;
+    constexpr std::size_t MaxMilliseconds = 3'600'000;
     settings.keyWindow =
-        std::chrono::seconds(checker.number("--key-window-s", raw.keyWindowS, 1, LongestSeconds));
-    settings.logRetention = std::chrono::seconds(
-        checker.number("--log-retention-s", raw.logRetentionS, 1, LongestSeconds));
-    settings.clockSkew =
-        std::chrono::milliseconds(checker.number("--clock-skew-ms", raw.clockSkewMs, 0, LongestMs));
+        std::chrono::seconds(checker.number("--key-window-s", raw.keyWindowS, 1, MaxSeconds));
+    settings.logRetention =
+        std::chrono::seconds(checker.number("--log-retention-s", raw.logRetentionS, 1, MaxSeconds));
+    settings.clockSkew = std::chrono::milliseconds(
+        checker.number("--clock-skew-ms", raw.clockSkewMs, 0, MaxMilliseconds));
     const auto window = Claims::KeyWindow::create(settings.keyWindow, settings.clockSkew,
                                                   settings.logRetention, ClaimMargin);
     if (!window.has_value())
         checker.fault("--key-window-s", window.error().detail());
     settings.usageInterval = std::chrono::milliseconds(
-        checker.number("--usage-interval-ms", raw.usageIntervalMs, 10, LongestMs));
+        checker.number("--usage-interval-ms", raw.usageIntervalMs, 10, MaxMilliseconds));
 }
 
 void checkUpstreams(const RawSettings &raw, Settings &settings, Checker &checker)
@@ -209,9 +209,9 @@
     if (raw.peer.empty())
         return;
     settings.peer = checker.endpoint("--peer", raw.peer);
-    if (settings.peerKey.size() < ShortestPeerKeyBytes)
+    if (settings.peerKey.size() < MinPeerKeyBytes)
         checker.fault("--peer-key-file", "--peer needs a key of at least "
-                                             + std::to_string(ShortestPeerKeyBytes) + " bytes");
+                                             + std::to_string(MinPeerKeyBytes) + " bytes");
 }
 
 void check(const RawSettings &raw, CommandLine &line)
@@ -228,12 +228,12 @@
     settings.environment = raw.environment;
     settings.threads = raw.threads.empty()
                            ? std::max(1U, std::thread::hardware_concurrency())
-                           : checker.number("--threads", raw.threads, 1, MostThreads);
-    constexpr std::size_t LongestDrainMs = 3'600'000;
+                           : checker.number("--threads", raw.threads, 1, MaxThreads);
+    constexpr std::size_t MaxDrainMilliseconds = 3'600'000;
     settings.drainGrace = std::chrono::milliseconds(
-        checker.number("--drain-grace-ms", raw.drainGraceMs, 0, LongestDrainMs));
+        checker.number("--drain-grace-ms", raw.drainGraceMs, 0, MaxDrainMilliseconds));
     settings.drainLimit = std::chrono::milliseconds(
-        checker.number("--drain-limit-ms", raw.drainLimitMs, 0, LongestDrainMs));
+        checker.number("--drain-limit-ms", raw.drainLimitMs, 0, MaxDrainMilliseconds));
     checkTimes(raw, settings, checker);
     checkPlatform(raw, settings, checker);
     checkUpstreams(raw, settings, checker);
--- a/Tests/LibConfiguration/TestConfigurationReader.cpp
+++ b/Tests/LibConfiguration/TestConfigurationReader.cpp
@@ -22,7 +22,7 @@
 constexpr const char *Environment = "trial";
 constexpr const char *Stream = "configuration.trial";
 
-/// Several readers of one log on one thread, driven until something holds.
+/// Runs several readers of one log on one thread.
 struct Fixture
 {
     explicit Fixture(std::uint64_t seed = 1)
@@ -47,12 +47,12 @@
                                           .instance = Core::InstanceId(name),
                                           .renewalInterval = 2s,
                                           .firstRetry = 0ms,
-                                          .longestRetry = 0ms},
+                                          .maxRetryDelay = 0ms},
             service, readerClock, random,
             Configuration::ReaderHooks {.onAccepted =
                                             [this](const auto &it) {
-                                                // Some announcements are slow, so that others could
-                                                // overtake them.
+                                                // Slow hooks give other threads the chance to
+                                                // announce a version first.
                                                 if (isSlowToAnnounce && it.generation % 2 == 0)
                                                     std::this_thread::sleep_for(1ms);
                                                 accepted.push_back(it.generation);
@@ -69,9 +69,9 @@
         log.append(Stream,
                    encodeRecord(Environment, samplePublication(replaces, base, document, id)));
     }
-    /// Lets the readers work until the condition holds; false when it never does.
+    /// Runs the readers until the condition holds. Returns false when it never does.
     template <typename Condition>
-    bool until(Condition holds)
+    bool runUntil(Condition holds)
     {
         for (int n = 0; n < 2'000'000 && !holds(); ++n)
             context.run_one();
@@ -92,7 +92,7 @@
 
 } // namespace
 
-TEST_CASE("an accepted document comes into force on every instance, a refused one on none")
+TEST_CASE("an accepted document becomes active on every instance, a rejected one on none")
 {
     Fixture fixture;
     fixture.publish(0, invalidDocument(0));
@@ -100,54 +100,55 @@
     fixture.publish(0, sampleDocument(1));
     for (int n = 0; n < 8; ++n)
         fixture.start();
-    CHECK(fixture.until([&] { return fixture.accepted.size() == 8; }));
+    CHECK(fixture.runUntil([&] { return fixture.accepted.size() == 8; }));
     CHECK(fixture.refused == 8);
     for (const auto &it : fixture.readers)
         CHECK(it.current()->bytes == sampleDocument(1));
 }
 
-TEST_CASE("an instance goes on through an outage of the log and catches up after it")
+TEST_CASE("an instance keeps its configuration during a log outage and catches up afterwards")
 {
     Fixture fixture;
     fixture.publish(0, sampleDocument(1));
     auto &reader = fixture.start();
-    REQUIRE(fixture.until([&] { return reader.generation() == 1; }));
-    fixture.service.isOut = true;
-    REQUIRE(fixture.until([&] { return reader.counters().failures > 5; }));
+    REQUIRE(fixture.runUntil([&] { return reader.generation() == 1; }));
+    fixture.service.isUnavailable = true;
+    REQUIRE(fixture.runUntil([&] { return reader.counters().failures > 5; }));
     CHECK(reader.generation() == 1);
     fixture.publish(1, sampleDocument(2));
-    fixture.service.isOut = false;
-    CHECK(fixture.until([&] { return reader.generation() == 2; }));
+    fixture.service.isUnavailable = false;
+    CHECK(fixture.runUntil([&] { return reader.generation() == 2; }));
 }
 
-TEST_CASE("with the log out an instance starts from a sibling, and never goes back")
+TEST_CASE(
+    "an instance without the log adopts a sibling's document and never reverts to an older one")
 {
     Fixture fixture;
     fixture.publish(0, sampleDocument(1));
     fixture.publish(1, sampleDocument(2));
-    fixture.service.isOut = true;
+    fixture.service.isUnavailable = true;
     auto &reader = fixture.start();
-    REQUIRE(fixture.until([&] { return reader.counters().failures > 2; }));
+    REQUIRE(fixture.runUntil([&] { return reader.counters().failures > 2; }));
     CHECK(reader.generation() == 0);
     CHECK(reader.adoptFromSibling(2, invalidDocument(2)).has_error());
     CHECK(reader.adoptFromSibling(2, sampleDocument(2)).value());
     CHECK_FALSE(reader.adoptFromSibling(1, sampleDocument(1)).value());
     CHECK(reader.generation() == 2);
-    // Reading generation 1 again on the way to 2 puts nothing older in force.
-    fixture.service.isOut = false;
+    // Reading generation 1 from the log afterwards does not activate an older version.
+    fixture.service.isUnavailable = false;
     fixture.publish(2, sampleDocument(3));
-    CHECK(fixture.until([&] { return reader.generation() == 3; }));
+    CHECK(fixture.runUntil([&] { return reader.generation() == 3; }));
     CHECK(fixture.accepted == std::vector<Generation> {2, 3});
 }
 
-TEST_CASE("threads that bring versions in any order never announce or show an older one")
+TEST_CASE("threads that adopt versions in any order never announce or expose an older one")
 {
     constexpr Generation Versions = 60;
     Fixture fixture;
     fixture.isSlowToAnnounce = true;
     auto &reader = fixture.start();
     std::atomic<bool> isDone {false};
-    std::atomic<std::size_t> falls {0};
+    std::atomic<std::size_t> regressions {0};
     std::vector<std::thread> threads;
     for (unsigned n = 0; n < 3; ++n)
         threads.emplace_back([&, n] {
@@ -157,7 +158,7 @@
     std::thread watcher([&] {
         for (Generation last = 0; !isDone;) {
             const auto now = reader.current()->generation;
-            falls += now < last ? 1 : 0;
+            regressions += now < last ? 1 : 0;
             last = now;
         }
     });
@@ -165,46 +166,46 @@
         it.join();
     isDone = true;
     watcher.join();
-    CHECK(falls == 0);
+    CHECK(regressions == 0);
     CHECK(reader.generation() == Versions);
     CHECK(std::is_sorted(fixture.accepted.begin(), fixture.accepted.end()));
 }
 
-TEST_CASE("the log's word replaces what a sibling said of the same generation")
+TEST_CASE("the log's document replaces a sibling's document of the same generation")
 {
     Fixture fixture;
     auto &reader = fixture.start();
     CHECK(reader.adoptFromSibling(1, sampleDocument(7)).value());
     fixture.publish(0, sampleDocument(1));
-    CHECK(fixture.until([&] { return reader.current()->bytes == sampleDocument(1); }));
+    CHECK(fixture.runUntil([&] { return reader.current()->bytes == sampleDocument(1); }));
 }
 
-TEST_CASE("the document outlives the log's retention, lost answers included")
+TEST_CASE("the document outlives the log's retention even when answers are lost")
 {
     Fixture fixture;
-    fixture.service.lostAnswers = 50;
+    fixture.service.lostAnswerPercent = 50;
     fixture.publish(0, sampleDocument(1));
     for (int n = 0; n < 8; ++n)
         fixture.start();
     const auto end = fixture.clock.now() + 60s;
-    REQUIRE(fixture.until([&] { return fixture.clock.now() > end; }));
+    REQUIRE(fixture.runUntil([&] { return fixture.clock.now() > end; }));
     const auto kept = fixture.log.read(Stream, 0, 1'000);
     CHECK(kept.first > 0);
     auto &late = fixture.start();
-    CHECK(fixture.until([&] { return late.generation() == 1; }));
+    CHECK(fixture.runUntil([&] { return late.generation() == 1; }));
     CHECK(late.current()->bytes == sampleDocument(1));
-    // Sixty seconds hold at most thirty intervals; every instance for itself would make 8 times
-    // as many.
+    // Sixty seconds contain at most thirty intervals. Without coordination, the 8 instances would
+    // append 8 times as many renewals.
     CHECK(kept.next < 60);
 }
 
-TEST_CASE("an instance whose calendar runs ahead does not flood the log with renewals")
+TEST_CASE("an instance whose wall clock is ahead does not flood the log with renewals")
 {
     Core::ManualClock ahead;
     Fixture fixture;
     ahead.advance(24h);
     fixture.publish(0, sampleDocument(1));
     auto &reader = fixture.start(ahead);
-    REQUIRE(fixture.until([&] { return reader.counters().reads > 100; }));
+    REQUIRE(fixture.runUntil([&] { return reader.counters().reads > 100; }));
     CHECK(reader.counters().renewals == 1);
 }
