--- a/Libraries/LibCore/Base64.cpp
+++ b/Libraries/LibCore/Base64.cpp
@@ -27,7 +27,7 @@
 
 std::string encodeBase64(std::string_view bytes)
 {
-    // OpenSSL writes a terminating zero behind the text.
+    // OpenSSL writes a terminating zero after the text.
     std::string text((bytes.size() + 2) / 3 * 4 + 1, '\0');
     const auto n =
         EVP_EncodeBlock(asUnsigned(text), asUnsigned(bytes), static_cast<int>(bytes.size()));
--- a/Libraries/LibCore/Base64.h
+++ b/Libraries/LibCore/Base64.h
@@ -7,10 +7,10 @@
 
 namespace Core {
 
-/// The base64 text of the bytes, padded.
+/// Encodes the bytes as padded base64.
 std::string encodeBase64(std::string_view bytes);
 
-/// The bytes of a padded base64 text. Fails with MalformedRequest when it is not valid.
+/// Decodes padded base64. Fails with MalformedRequest when the text is not valid.
 Result<std::string> decodeBase64(std::string_view text);
 
 } // namespace Core
--- a/Libraries/LibCore/Clock.h
+++ b/Libraries/LibCore/Clock.h
@@ -4,7 +4,7 @@
 
 namespace Core {
 
-/// Source of time, passed in so that tests can drive it by hand.
+/// Source of time, injected so that tests can control it.
 class Clock
 {
 public:
@@ -12,13 +12,13 @@
     using Wall = std::chrono::system_clock::time_point;
 
     virtual ~Clock() = default;
-    /// Time that never goes back. Deadlines, leases and timeouts are measured with it.
+    /// Returns monotonic time, which is used for deadlines, leases and timeouts.
     virtual Monotonic now() const = 0;
-    /// Calendar time, which may jump. Only issue times and records carry it.
+    /// Returns calendar time, which may jump. Used only for issue times and records.
     virtual Wall wallNow() const = 0;
 };
 
-/// The machine's own clocks.
+/// The clocks of the operating system.
 class SystemClock final : public Clock
 {
 public:
@@ -26,8 +26,8 @@
     Wall wallNow() const override;
 };
 
-/// The machine's clocks, where the monotonic one also counts the time of a suspension. Ages of
-/// knowledge and leases need it: a process that was frozen must not take old knowledge for new.
+/// The clocks of the operating system, with a monotonic clock that includes time in suspension. The
+/// ages of leases and received state need it: a resumed process must not treat old state as fresh.
 class SuspensionAwareClock final : public Clock
 {
 public:
--- a/Libraries/LibCore/Error.h
+++ b/Libraries/LibCore/Error.h
@@ -8,21 +8,21 @@
 
 namespace Core {
 
-/// The one exception type of the system. It carries a kind of the closed list and, truthfully,
-/// what became of the attempt and, for a keyed call, what is known of the key.
+/// The only exception type of the project. Carries an error kind, the execution status of the
+/// attempt and, for a call with an idempotency key, the execution status of the key.
 class Error : public std::runtime_error
 {
 public:
-    /// An error whose attempt status is the table's.
+    /// Constructs an error with the attempt status that errorKindTable() gives for its kind.
     explicit Error(ErrorKind kind, const std::string &detail = {});
-    /// An error whose fates the raising place knows.
+    /// Constructs an error with explicit execution statuses of the attempt and the key.
     Error(ErrorKind kind, const std::string &detail, ExecutionStatus attempt,
           std::optional<ExecutionStatus> key);
 
     ErrorKind kind() const { return m_kind; }
     const std::string &detail() const { return m_detail; }
     ExecutionStatus attempt() const { return m_attempt; }
-    /// What is known of the idempotency key over all instances; empty for a call without one.
+    /// The status of the idempotency key across all instances; empty for a call without a key.
     std::optional<ExecutionStatus> key() const { return m_key; }
 
 private:
@@ -32,11 +32,11 @@
     std::optional<ExecutionStatus> m_key;
 };
 
-/// The error of a request's last attempt, when earlier ones may have run: an attempt that did not
-/// run says nothing of those before it.
+/// Returns the error of a request's last attempt, with the status of the earlier attempts if the
+/// last one did not run: that it did not run says nothing about the earlier ones.
 Error afterOtherAttempts(const Error &last, ExecutionStatus earlier);
 
-/// The JSON body callers receive: {"error":{"kind","message","attempt","key"}}.
+/// Returns the JSON body that callers receive: {"error":{"kind","message","attempt","key"}}.
 std::string errorBody(const Error &error);
 
 } // namespace Core
--- a/Libraries/LibCore/ErrorKind.h
+++ b/Libraries/LibCore/ErrorKind.h
@@ -9,7 +9,7 @@
 
 namespace Core {
 
-/// The closed list of error kinds. Each has one row in the table of errorKindTable().
+/// All error kinds. Each has one row in errorKindTable().
 enum class ErrorKind : unsigned {
     MalformedRequest,
     HeadersTooLarge,
@@ -53,22 +53,22 @@
     Internal,
 };
 
-/// One row of the table from kind to answer.
+/// Maps an error kind to the response that callers receive.
 struct ErrorKindRow
 {
     ErrorKind kind;
     std::string_view name;
     unsigned httpStatus;
-    /// What became of the attempt, unless the place that raises the error knows better.
+    /// The default execution status of the attempt; the code that throws may override it.
     ExecutionStatus attempt;
     std::optional<std::chrono::seconds> retryAfter;
     std::string_view meaning;
 };
 
-/// Every kind, in the order of the enumeration.
+/// Returns the rows of all kinds, in the order of the enumeration.
 std::span<const ErrorKindRow> errorKindTable();
 
-/// The row of one kind.
+/// Returns the row of one kind.
 const ErrorKindRow &errorKindRow(ErrorKind kind);
 
 } // namespace Core
--- a/Libraries/LibCore/EventCatalogue.h
+++ b/Libraries/LibCore/EventCatalogue.h
@@ -81,10 +81,10 @@
     std::string_view meaning;
 };
 
-/// Every event, by number.
+/// Returns all events, ordered by number.
 std::span<const EventRow> eventCatalogue();
 
-/// The row of one event.
+/// Returns the row of one event.
 const EventRow &eventRow(EventId id);
 
 } // namespace Core
--- a/Libraries/LibCore/EventLog.cpp
+++ b/Libraries/LibCore/EventLog.cpp
@@ -27,11 +27,11 @@
 std::atomic<bool> theIsConfigured {false};
 std::once_flag theSetUp;
 
-// What a reader that stands still may leave behind.
+// Maximum number of bytes buffered while the reader of standard output is stalled.
 constexpr std::size_t PendingBytes = 256 * 1024;
 constexpr std::chrono::seconds LeftOutInterval {1};
 
-/// Bounds what is written to standard output, and says what was left out.
+/// Limits the output to standard output and counts the lines that were dropped.
 class BoundedOutput
 {
 public:
@@ -47,7 +47,7 @@
         m_writer.write(line, isImportant);
     }
 
-    /// The lines left out so far, at most once an interval.
+    /// Returns and resets the number of dropped lines, at most once per interval; otherwise 0.
     std::uint64_t takeLeftOut(Clock::Monotonic now)
     {
         const std::scoped_lock lock(m_mutex);
@@ -66,7 +66,7 @@
 
 std::unique_ptr<BoundedOutput> theBoundedOutput;
 
-/// Sends every line to the target.
+/// Writes every line to the configured target.
 class TargetSink : public el::LogDispatchCallback
 {
 protected:
@@ -98,7 +98,7 @@
     return "error";
 }
 
-/// The time of day in UTC, to the millisecond.
+/// Returns the current date and time in UTC with millisecond precision.
 std::string calendarTime()
 {
     const auto now = SystemClock().wallNow();
@@ -172,7 +172,7 @@
 
 void logEvent(EventId id, std::initializer_list<EventField> fields)
 {
-    // Programs that set nothing up, such as unit tests, get readable text.
+    // Programs that do not configure logging, such as unit tests, use the text format.
     std::call_once(theSetUp, [] {
         if (!theIsConfigured)
             configureEventLog(theFormat, theLowestLevel);
--- a/Libraries/LibCore/EventLog.h
+++ b/Libraries/LibCore/EventLog.h
@@ -20,16 +20,16 @@
     std::string value;
 };
 
-/// Where the lines of events go.
+/// Where log lines are written.
 enum class LogTarget {
-    /// For programs whose standard output belongs to their answers.
+    /// For programs that write their results to standard output.
     StandardError,
-    /// Never waits for the reader, and bounds the lines a second below warning. What is left out is
-    /// counted and said (lines_left_out).
+    /// Never blocks on the reader, and limits the rate of lines below warning level. Dropped lines
+    /// are counted and reported (event lines_left_out).
     BoundedStandardOutput,
 };
 
-/// Sets up logging for the process. Call once, before the first event.
+/// Configures logging for the process. Call once, before the first event.
 void configureEventLog(LogFormat format, EventLevel lowest,
                        LogTarget target = LogTarget::StandardError);
 
--- a/Libraries/LibCore/ExecutionStatus.h
+++ b/Libraries/LibCore/ExecutionStatus.h
@@ -4,7 +4,7 @@
 
 namespace Core {
 
-/// What became of one attempt, or what is known of one idempotency key.
+/// Whether an attempt, or the call with an idempotency key, was executed.
 enum class ExecutionStatus {
     NotRun,
     Running,
@@ -12,7 +12,7 @@
     Unknown,
 };
 
-/// The name callers see: "not_run", "running", "run" or "unknown".
+/// Returns the name that callers see: "not_run", "running", "run" or "unknown".
 std::string_view executionStatusName(ExecutionStatus status);
 
 } // namespace Core
--- a/Libraries/LibCore/Identifier.h
+++ b/Libraries/LibCore/Identifier.h
@@ -8,8 +8,8 @@
 
 namespace Core {
 
-/// A name of one kind of object. Distinct tags keep a team's name from being passed where an
-/// upstream's is wanted.
+/// A strongly typed identifier. Distinct tags prevent, for example, passing a team id where an
+/// upstream id is expected.
 template <typename Tag>
 class Identifier
 {
@@ -22,7 +22,7 @@
     const std::string &value() const { return m_value; }
     bool isEmpty() const { return m_value.empty(); }
 
-    // The check takes the defaulted comparison's own literal zero for a null pointer.
+    // clang-tidy mistakes the literal zero in the defaulted comparison for a null pointer.
     // NOLINTNEXTLINE(modernize-use-nullptr)
     friend auto operator<=>(const Identifier &, const Identifier &) = default;
     friend std::ostream &operator<<(std::ostream &out, const Identifier &id)
--- a/Libraries/LibCore/IoThreads.h
+++ b/Libraries/LibCore/IoThreads.h
@@ -11,23 +11,23 @@
 
 namespace Core {
 
-/// A fixed number of threads, each with an I/O context of its own. Whatever belongs to one
-/// connection stays on one context and needs no lock.
+/// A fixed number of threads, each with its own I/O context. All work of a connection runs on one
+/// context and needs no locking.
 class IoThreads
 {
 public:
     explicit IoThreads(std::size_t count);
-    /// Stops and joins.
+    /// Stops the contexts and joins the threads.
     ~IoThreads();
     IoThreads(const IoThreads &) = delete;
     IoThreads &operator=(const IoThreads &) = delete;
 
     std::size_t count() const { return m_contexts.size(); }
-    /// The contexts in turn. Safe from any thread.
+    /// Returns the contexts in round-robin order. Safe from any thread.
     boost::asio::io_context &next();
-    /// A certain context; the index counts modulo count().
+    /// Returns the context with the given index modulo count().
     boost::asio::io_context &at(std::size_t index);
-    /// Ends every context's loop and waits for the threads. Not to be called from one of them.
+    /// Stops every context and joins the threads. Must not be called from one of them.
     void stop();
 
 private:
--- a/Libraries/LibCore/LineWriter.cpp
+++ b/Libraries/LibCore/LineWriter.cpp
@@ -34,7 +34,7 @@
 {
     std::size_t written = 0;
     while (written < m_pending.size()) {
-        // A pipe that is ready takes this many bytes at once, so that the write does not wait.
+        // A pipe reported as writable accepts PIPE_BUF bytes, so that the write does not block.
         pollfd ready {m_descriptor, POLLOUT, 0};
         if (::poll(&ready, 1, 0) != 1 || (ready.revents & POLLOUT) == 0)
             break;
--- a/Libraries/LibCore/LineWriter.h
+++ b/Libraries/LibCore/LineWriter.h
@@ -7,23 +7,23 @@
 
 namespace Core {
 
-/// Writes lines to a descriptor without ever waiting for its reader. What the reader does not take
-/// stays in a buffer of fixed size; lines that find no room are left out and counted.
+/// Writes lines to a file descriptor without blocking on its reader. Unwritten bytes stay in a
+/// buffer of fixed size; lines that do not fit are dropped and counted.
 class LineWriter
 {
 public:
-    /// Room for lines that must not be lost before others are: failures and warnings.
+    /// Extra buffer capacity reserved for important lines: errors and warnings.
     static constexpr std::size_t ReservedBytes = 64 * 1024;
 
-    /// The descriptor stays the caller's.
+    /// The caller keeps ownership of the descriptor.
     LineWriter(int descriptor, std::size_t capacityBytes);
 
-    /// Takes a line without its end. Important lines may also use the reserved room. Returns
-    /// whether the line was taken.
+    /// Writes or buffers a line, given without its line feed. Important lines may also use the
+    /// reserved capacity. Returns whether the line was accepted.
     bool write(std::string_view line, bool isImportant);
-    /// Writes what the reader takes now.
+    /// Writes as many buffered bytes as possible without blocking.
     void flush();
-    /// Lines left out since the last call.
+    /// Returns the number of lines dropped since the last call.
     std::uint64_t takeLeftOut();
     std::size_t pendingBytes() const { return m_pending.size(); }
 
--- a/Libraries/LibCore/LogRateLimiter.h
+++ b/Libraries/LibCore/LogRateLimiter.h
@@ -7,17 +7,17 @@
 
 namespace Core {
 
-/// Bounds the lines a second below warning, so that a flood of refusals does not become a flood of
-/// log work. Warnings and errors always pass.
+/// Limits the rate of log lines below warning level, so that a flood of refused requests does not
+/// overload logging. Warnings and errors always pass.
 class LogRateLimiter
 {
 public:
-    /// Lines a second that pass in the long run, and at once after a quiet time.
+    /// Sustained rate in lines per second, and the burst allowed after a quiet period.
     static constexpr double LinesPerSecond = 200;
     static constexpr double Burst = 400;
 
     bool admit(EventLevel level, Clock::Monotonic now);
-    /// Lines left out since the last call.
+    /// Returns the number of lines dropped since the last call.
     std::uint64_t takeLeftOut();
 
 private:
--- a/Libraries/LibCore/ManualClock.cpp
+++ b/Libraries/LibCore/ManualClock.cpp
@@ -3,7 +3,7 @@
 namespace Core {
 
 namespace {
-// An arbitrary fixed calendar time, so that every run sees the same dates.
+// An arbitrary fixed calendar time, so that all runs use the same dates.
 constexpr std::chrono::seconds WallEpoch {1'700'000'000};
 } // namespace
 
--- a/Libraries/LibCore/ManualClock.h
+++ b/Libraries/LibCore/ManualClock.h
@@ -6,13 +6,13 @@
 
 namespace Core {
 
-/// A clock that moves only when told to. Safe to read from several threads.
+/// A clock for tests that only moves on advance(). Safe to read from several threads.
 class ManualClock final : public Clock
 {
 public:
     Monotonic now() const override;
     Wall wallNow() const override;
-    /// Moves both clocks forward by the given time.
+    /// Advances monotonic and calendar time by the given duration.
     void advance(std::chrono::nanoseconds step);
 
 private:
--- a/Libraries/LibCore/Result.h
+++ b/Libraries/LibCore/Result.h
@@ -21,7 +21,7 @@
     { }
 };
 
-/// What a static factory function returns: the object, or the error that kept it from being made.
+/// Holds a value, such as the object that a factory function created, or the error that occurred.
 /// value() throws that error.
 template <typename T>
 using Result = boost::outcome_v2::basic_result<T, Error, ThrowErrorPolicy>;
--- a/Libraries/LibCore/Snapshot.h
+++ b/Libraries/LibCore/Snapshot.h
@@ -13,7 +13,7 @@
 namespace Core {
 
 #if !defined(JUJUBE_THREAD_SANITIZER)
-/// Registers a thread as a reader of snapshots for as long as the thread lives. A thread may
+/// Registers the current thread as an RCU reader until the thread ends. A thread may
 /// register only once, whatever the types of the snapshots it reads.
 class SnapshotReaderThread
 {
@@ -26,7 +26,7 @@
 };
 #endif
 
-/// A value that many threads read without waiting and that is replaced as a whole
+/// A value that many threads read without blocking and that is replaced as a whole
 /// (read-copy-update). A reader must not suspend a coroutine inside read(); to keep the value
 /// longer it copies the shared pointer that share() returns.
 template <typename T>
@@ -40,7 +40,7 @@
     Snapshot(const Snapshot &) = delete;
     Snapshot &operator=(const Snapshot &) = delete;
 
-    /// Calls reader with the present value and returns its result.
+    /// Calls reader with the current value and returns its result.
     template <typename Reader>
     auto read(Reader &&reader) const
     {
@@ -48,14 +48,14 @@
         return std::forward<Reader>(reader)(**section.current());
     }
 
-    /// A counted reference to the present value, which outlives later replacements.
+    /// Returns a shared pointer to the current value, which stays valid after replacements.
     std::shared_ptr<const T> share() const
     {
         ReadSection section(*this);
         return *section.current();
     }
 
-    /// Replaces the value. Waits until no reader holds the old one.
+    /// Replaces the value. Blocks until no reader uses the old one.
     void replace(std::shared_ptr<const T> next)
     {
         auto *fresh = new std::shared_ptr<const T>(std::move(next));
@@ -73,7 +73,7 @@
 
 private:
 #if defined(JUJUBE_THREAD_SANITIZER)
-    // ThreadSanitizer does not know liburcu's barriers, so its build uses a lock instead.
+    // ThreadSanitizer does not understand liburcu's barriers, so its build uses a lock instead.
     struct ReadSection
     {
         explicit ReadSection(const Snapshot &owner)
--- a/Libraries/LibHttp/Client.cpp
+++ b/Libraries/LibHttp/Client.cpp
@@ -28,7 +28,7 @@
 constexpr std::size_t HeaderLimitBytes = 64 * 1024;
 constexpr std::size_t KeptConnectionsPerEndpoint = 64;
 
-/// A connection and what was read from it beyond the last answer.
+/// A connection and its read buffer.
 struct Connection
 {
     explicit Connection(const asio::any_io_executor &executor)
@@ -37,7 +37,7 @@
 
     beast::tcp_stream stream;
     beast::flat_buffer buf;
-    /// Counts the calls that it served, so that an old call's abort cannot close a later one's.
+    /// Number of completed calls, so that aborting an old call cannot close a later one.
     std::uint64_t call = 0;
     /// When the server may close the connection for being idle.
     std::chrono::steady_clock::time_point idleUntil = std::chrono::steady_clock::time_point::max();
@@ -45,10 +45,10 @@
 
 using ConnectionPtr = std::shared_ptr<Connection>;
 
-// A connection is not used this close to the end of the server's idle time.
+// An idle connection is not reused within this time before the server may close it.
 constexpr std::chrono::milliseconds IdleMargin {1'000};
 
-/// Whether an idle connection is still open and holds no bytes that belong to no request.
+/// Returns whether an idle connection is still open and no unexpected bytes have arrived on it.
 bool isUsable(Connection &connection)
 {
     if (std::chrono::steady_clock::now() >= connection.idleUntil)
@@ -59,7 +59,7 @@
     return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-/// The idle time that a server announced in a Keep-Alive field, if it did.
+/// Returns the idle timeout of a Keep-Alive header field, if it has one.
 std::optional<std::chrono::seconds> announcedIdleTime(std::string_view field)
 {
     constexpr std::string_view Name = "timeout=";
@@ -81,7 +81,7 @@
     if (ec.category() == make_error_code(http::error::bad_chunk).category()
         && ec != http::error::end_of_stream && ec != http::error::partial_message)
         return Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, ec.message());
-    // The system gave up on bytes that were not acknowledged (SendOptions::unacknowledged).
+    // The TCP user timeout expired with unacknowledged bytes (SendOptions::unacknowledged).
     if (ec == asio::error::timed_out)
         return Core::Error(Core::ErrorKind::UpstreamTimedOut, ec.message());
     return Core::Error(Core::ErrorKind::UpstreamFailed, ec.message());
@@ -104,8 +104,8 @@
 
 } // namespace
 
-/// Idle connections. A connection is bound to the thread that opened it, so the executor is part
-/// of the key.
+/// The pool of idle connections. A connection is bound to the thread that opened it, so the
+/// execution context is part of the key.
 struct Client::Shared
 {
     struct Key
@@ -217,10 +217,10 @@
     }
 
 private:
-    /// Returns the connection to the idle ones after a whole answer.
+    /// Returns the connection to the pool after a complete response.
     void release()
     {
-        // Bytes beyond the answer belong to no request.
+        // Do not reuse a connection with bytes after the end of the response.
         if (!m_connection || !m_parser.keep_alive() || m_connection->buf.size() > 0)
             return;
         if (const auto idle = announcedIdleTime(m_parser.get()[http::field::keep_alive]))
@@ -239,7 +239,7 @@
     Headers m_headers;
 };
 
-/// Lets the call be ended through its connection, as long as that lives.
+/// Lets options.abort close the connection while it still serves this call.
 void bindAbort(const SendOptions &options, const ConnectionPtr &connection)
 {
     if (!options.abort)
@@ -322,7 +322,7 @@
         const bool isAborted = options.abort && options.abort->isAborted();
         if (ec == beast::error::timeout || !options.mayRepeat || isAborted)
             throw sentError(ec);
-        // The server had closed the kept connection; this request may be repeated on a new one.
+        // The idle connection failed, and the request may be repeated on a new one.
     }
     auto connection = co_await connect(executor, endpoint, timeouts.connect, options);
     ensureMaySend();
--- a/Libraries/LibHttp/Client.h
+++ b/Libraries/LibHttp/Client.h
@@ -12,32 +12,32 @@
 
 namespace Http {
 
-/// How long a client waits for a server.
+/// The timeouts of a client's request.
 struct ClientTimeouts
 {
     std::chrono::milliseconds connect {1'000};
-    /// From the end of the request to the head of the answer.
+    /// For sending the request and receiving the response's status line and headers.
     std::chrono::milliseconds head {60'000};
-    /// Between two pieces of the answer's body.
+    /// Between two reads of the response body.
     std::chrono::milliseconds body {30'000};
 };
 
-/// Whether a connection that served an earlier request may be used. A kept connection may be
-/// closed by the server just as the request is sent, which leaves it open whether the request ran,
-/// so calls that may not be repeated ask for a new one.
+/// Whether a pooled connection may be used. The server may close an idle connection just as the
+/// request is sent, which leaves unknown whether the request was executed, so calls that must not
+/// be repeated use a new connection.
 enum class ConnectionUse {
     PooledOrNew,
     New,
 };
 
-/// Ends a call from outside, whatever it waits for. For the thread that runs the call.
+/// Aborts a call at any stage. To be used on the thread that runs the call.
 class CallAbort
 {
 public:
-    /// Closes the call's connection; what waits on it fails.
+    /// Closes the call's connection; pending operations on it fail.
     void abort();
     bool isAborted() const { return m_isAborted; }
-    /// Called by the client when a connection takes up the call.
+    /// Called by the client when the call is assigned to a connection.
     void bind(std::function<void()> close);
 
 private:
@@ -49,39 +49,39 @@
 struct SendOptions
 {
     ConnectionUse use = ConnectionUse::PooledOrNew;
-    /// Whether the request may go out again on a new connection when a kept one broke before an
-    /// answer. The server may have begun to work on it.
+    /// Whether the request may be sent again on a new connection when a pooled one fails before a
+    /// response. The server may have started to process it.
     bool mayRepeat = true;
-    /// Ends the call early; may be null.
+    /// Aborts the call; may be null.
     std::shared_ptr<CallAbort> abort;
-    /// Asked right before the first byte is written; when it says no, the call fails with
-    /// UpstreamUnreachable and nothing was sent. May be empty.
+    /// Called right before the first byte is written; when it returns false, the call fails with
+    /// UpstreamUnreachable and nothing is sent. May be empty.
     std::function<bool()> maySend;
-    /// How long the system keeps unacknowledged bytes before it gives the connection up; zero
-    /// leaves the system's default.
+    /// The TCP user timeout: how long sent bytes may stay unacknowledged before the connection is
+    /// closed. Zero uses the system's default.
     std::chrono::milliseconds unacknowledged {0};
 };
 
-/// Sends requests, keeping idle connections for each thread and endpoint.
+/// Sends requests and pools idle connections per thread and endpoint.
 class Client
 {
 public:
     Client();
     ~Client();
 
-    /// Sends the request and returns once the head of the answer is there. Throws
+    /// Sends the request and returns once the response headers have arrived. Throws
     /// Error(UpstreamUnreachable) when nothing was sent, UpstreamFailed or UpstreamTimedOut when
-    /// the request was sent and no answer came, and UpstreamAnswerMalformed for an answer that is
-    /// not HTTP.
+    /// the request may have been sent and no response arrived, and UpstreamAnswerMalformed for a
+    /// response that is not valid HTTP.
     boost::asio::awaitable<std::unique_ptr<ClientExchange>>
     open(Endpoint endpoint, Request request, ClientTimeouts timeouts,
          ConnectionUse use = ConnectionUse::PooledOrNew);
 
-    /// The same with more to say about how the request is sent.
+    /// Overload with further options.
     boost::asio::awaitable<std::unique_ptr<ClientExchange>>
     open(Endpoint endpoint, Request request, ClientTimeouts timeouts, SendOptions options);
 
-    /// open() and the whole body, up to the given size (UpstreamAnswerMalformed beyond it).
+    /// Reads the whole response. Throws UpstreamAnswerMalformed for a body above the limit.
     boost::asio::awaitable<Response> fetch(Endpoint endpoint, Request request,
                                            ClientTimeouts timeouts,
                                            std::size_t bodyLimit = DefaultBodyLimit,
--- a/Libraries/LibHttp/ClientExchange.h
+++ b/Libraries/LibHttp/ClientExchange.h
@@ -10,8 +10,8 @@
 
 namespace Http {
 
-/// The answer to a request that was sent. Destroying it before the body's end closes the
-/// connection, by which the server learns that nobody waits any more.
+/// The response to a request. Destroying it before the end of the body closes the connection, which
+/// signals to the server that the request was cancelled.
 class ClientExchange
 {
 public:
@@ -19,13 +19,13 @@
 
     virtual unsigned status() const = 0;
     virtual const Headers &headers() const = 0;
-    /// The next piece of the body as it comes, or nothing at its proper end. Throws
-    /// Error(UpstreamFailed) when the connection breaks before it, UpstreamTimedOut when nothing
-    /// comes in time, UpstreamAnswerMalformed for broken chunking.
+    /// Returns the next bytes of the body, or nothing at its end. Throws Error(UpstreamFailed) when
+    /// the connection is lost before the end, UpstreamTimedOut when nothing arrives in time, and
+    /// UpstreamAnswerMalformed for an invalid chunked encoding.
     virtual boost::asio::awaitable<std::optional<std::string>> readSome() = 0;
-    /// Changes how long readSome() waits for the next piece.
+    /// Changes how long readSome() waits for the next bytes.
     virtual void setBodyTimeout(std::chrono::milliseconds limit) = 0;
-    /// Closes the connection; a pending readSome() fails. For the thread that reads.
+    /// Closes the connection; a pending readSome() fails. Must run on the reading thread.
     virtual void abort() = 0;
 };
 
--- a/Libraries/LibHttp/Endpoint.h
+++ b/Libraries/LibHttp/Endpoint.h
@@ -15,7 +15,7 @@
 /// Fails with SettingsInvalid.
 Core::Result<Endpoint> parseEndpoint(std::string_view text);
 
-/// The text that parseEndpoint() reads.
+/// Formats an endpoint as parseEndpoint() expects it.
 std::string formatEndpoint(const Endpoint &endpoint);
 
 } // namespace Http
--- a/Libraries/LibHttp/EventSplitter.cpp
+++ b/Libraries/LibHttp/EventSplitter.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::string_view Field = "id:";
 
-/// The end of the last blank line, or zero.
+/// Returns the offset after the last blank line, or zero.
 std::size_t endOfWholeEvents(std::string_view text)
 {
     std::size_t end = 0;
--- a/Libraries/LibHttp/EventSplitter.h
+++ b/Libraries/LibHttp/EventSplitter.h
@@ -5,17 +5,17 @@
 
 namespace Http {
 
-/// Cuts a text/event-stream behind its whole events, keeping their bytes as they came.
+/// Passes on a text/event-stream in complete events, with their bytes unchanged.
 class EventSplitter
 {
 public:
-    /// Adds bytes and returns those of all events that are whole now.
+    /// Appends bytes and returns the bytes of all events that are now complete.
     std::string feed(std::string_view bytes);
-    /// Whether bytes of an unfinished event are left over.
+    /// Returns whether bytes of an incomplete event are buffered.
     bool hasPartialEvent() const { return !m_pending.empty(); }
-    /// The id of the last whole event that had one.
+    /// Returns the id of the last complete event that had one.
     const std::string &lastId() const { return m_lastId; }
-    /// Drops the bytes of an unfinished event.
+    /// Discards the bytes of an incomplete event.
     void dropPartialEvent() { m_pending.clear(); }
 
 private:
--- a/Libraries/LibHttp/EventStreamParser.h
+++ b/Libraries/LibHttp/EventStreamParser.h
@@ -15,15 +15,15 @@
     std::string data;
 };
 
-/// Cuts a text/event-stream into events, whatever the pieces it arrives in.
+/// Parses a text/event-stream incrementally, independent of how the bytes are split.
 class EventStreamParser
 {
 public:
-    /// Adds bytes. Throws Error(UpstreamAnswerMalformed) when one event exceeds the size limit.
+    /// Appends bytes. Throws Error(UpstreamAnswerMalformed) when one event exceeds the size limit.
     void feed(std::string_view bytes);
-    /// The next whole event, if there is one.
+    /// Returns the next complete event, if there is one.
     std::optional<ServerSentEvent> next();
-    /// Whether bytes of an unfinished event are left over.
+    /// Returns whether bytes of an incomplete event are buffered.
     bool hasPartialEvent() const { return m_position < m_pending.size(); }
 
     static constexpr std::size_t EventLimitBytes = 1024 * 1024;
@@ -33,10 +33,10 @@
     std::size_t m_position = 0;
 };
 
-/// The bytes of one event with only data.
+/// Formats an event that has only data.
 std::string formatEvent(std::string_view data);
 
-/// The bytes of one event of the given kind.
+/// Formats an event of the given kind.
 std::string formatEvent(std::string_view kind, std::string_view data);
 
 } // namespace Http
--- a/Libraries/LibHttp/Headers.h
+++ b/Libraries/LibHttp/Headers.h
@@ -7,7 +7,7 @@
 
 namespace Http {
 
-/// Header fields in their order. Names compare without regard to case.
+/// Header fields in order. Names are case-insensitive.
 class Headers
 {
 public:
@@ -22,7 +22,7 @@
         : m_fields(fields)
     { }
 
-    /// The first field of that name, or nothing.
+    /// Returns the value of the first field of that name, or nothing.
     std::optional<std::string_view> find(std::string_view name) const;
     /// Adds a field after those of the same name.
     void add(std::string_view name, std::string_view value);
@@ -36,10 +36,10 @@
     std::vector<Field> m_fields;
 };
 
-/// The fields without those that concern one connection only.
+/// Returns the fields without the hop-by-hop ones.
 Headers withoutConnectionFields(const Headers &headers);
 
-/// Whether two header names or tokens are equal without regard to ASCII case.
+/// Returns whether two header names or tokens are equal, ignoring ASCII case.
 bool equalIgnoringCase(std::string_view left, std::string_view right);
 
 } // namespace Http
--- a/Libraries/LibHttp/IdleConnections.cpp
+++ b/Libraries/LibHttp/IdleConnections.cpp
@@ -32,7 +32,7 @@
         const auto state = entry.lock();
         if (!state)
             continue;
-        // The connection's own thread knows whether a request has begun meanwhile.
+        // Check on the connection's own thread, since a request may have started in the meantime.
         boost::asio::post(state->stream.get_executor(), [state] {
             if (state->isIdle)
                 state->stream.cancel();
--- a/Libraries/LibHttp/IdleConnections.h
+++ b/Libraries/LibHttp/IdleConnections.h
@@ -8,12 +8,12 @@
 
 namespace Http {
 
-/// The connections of a server that wait for a request, so that a server that ends can close them.
+/// The server connections that wait for a request, so that the server can close them on shutdown.
 /// Safe from any thread.
 class IdleConnections
 {
 public:
-    /// Keeps a connection listed while it waits.
+    /// Registers a connection as idle during the lifetime of the entry.
     class Entry
     {
     public:
@@ -31,7 +31,7 @@
         std::list<std::weak_ptr<State>>::iterator m_position;
     };
 
-    /// Closes all that wait now, each on its own thread.
+    /// Closes all idle connections, each on its own thread.
     void closeAll();
 
 private:
--- a/Libraries/LibHttp/Message.h
+++ b/Libraries/LibHttp/Message.h
@@ -7,10 +7,10 @@
 
 namespace Http {
 
-// Both have constructors because GCC 12 destroys aggregate temporaries twice when they stand in a
-// co_await expression.
+// Both types have constructors because GCC 12 destroys aggregate temporaries in a co_await
+// expression twice.
 
-/// A whole request.
+/// A complete request.
 struct Request
 {
     Request() = default;
@@ -28,7 +28,7 @@
     std::string body;
 };
 
-/// A whole response.
+/// A complete response.
 struct Response
 {
     Response() = default;
--- a/Libraries/LibHttp/Server.cpp
+++ b/Libraries/LibHttp/Server.cpp
@@ -13,7 +13,7 @@
 namespace asio = boost::asio;
 
 namespace {
-// Time to let descriptors come free when the process has run out of them.
+// Delay after a failed accept, for example when the process has run out of file descriptors.
 constexpr std::chrono::milliseconds AcceptPause {50};
 } // namespace
 
--- a/Libraries/LibHttp/Server.h
+++ b/Libraries/LibHttp/Server.h
@@ -17,16 +17,16 @@
 
 namespace Http {
 
-/// What a caller may ask of a server's patience and memory.
+/// Time and size limits of requests and connections.
 struct ServerLimits
 {
     std::size_t headerBytes = 16 * 1024;
     std::size_t bodyBytes = 8 * 1024 * 1024;
-    /// The whole request must have arrived within this time of its first byte.
+    /// The whole request must arrive within this time after its first byte.
     std::chrono::milliseconds requestTime {10'000};
     /// A connection without a request is closed after this time.
     std::chrono::milliseconds idleTime {60'000};
-    /// A caller that takes no bytes for this long is given up.
+    /// A connection whose caller accepts no bytes for this long is closed.
     std::chrono::milliseconds writeTime {30'000};
 };
 
@@ -36,7 +36,7 @@
 public:
     using Handler = std::function<boost::asio::awaitable<void>(ServerExchange &)>;
 
-    /// Opens the port; port 0 takes a free one. Fails with SettingsInvalid.
+    /// Opens the port; 0 selects a free one. Fails with SettingsInvalid.
     static Core::Result<std::unique_ptr<Server>> create(Core::IoThreads &threads,
                                                         const Endpoint &endpoint,
                                                         const ServerLimits &limits,
@@ -44,18 +44,18 @@
     ~Server();
 
     Endpoint localEndpoint() const;
-    /// Puts other limits in force for the requests that begin after.
+    /// Changes the limits for subsequent requests.
     void setLimits(const ServerLimits &limits);
-    /// Goes on taking connections, but ends each after its next answer and says so in it.
+    /// Keeps accepting connections, but closes each after its next response (Connection: close).
     void beginDrain();
-    /// Closes connections that wait for a request. A request that crosses the close is not read.
+    /// Closes idle connections. A request that arrives at the same time is not read.
     void closeIdle();
-    /// Closes the port and tells connections to end after their present exchange.
+    /// Closes the port and makes connections end after their current exchange.
     void stopAccepting();
-    /// Exchanges under way, from the first byte of the request to the last of the answer.
+    /// Running exchanges, from the first byte of the request to the last of the response.
     std::size_t activeExchanges() const;
 
-    /// What the connections share with the server, and may outlive it with.
+    /// State shared with the connections, which may outlive the server.
     struct Shared;
 
 private:
--- a/Libraries/LibHttp/ServerExchange.h
+++ b/Libraries/LibHttp/ServerExchange.h
@@ -10,28 +10,28 @@
 
 namespace Http {
 
-/// One request and the answer to it. The handler answers either whole or as a stream.
-/// All calls belong to the thread that runs the connection.
+/// One request and its response. The handler sends either a complete response or a stream.
+/// All functions must be called on the thread that runs the connection.
 class ServerExchange
 {
 public:
     virtual ~ServerExchange() = default;
 
     const Request &request() const { return m_request; }
-    /// Whether the head of an answer was sent, so that no other answer can follow.
+    /// Whether the response headers were sent, so that no other response can follow.
     bool hasStarted() const { return m_started; }
     /// Whether the caller has closed its connection.
     bool isCallerGone() const { return m_callerGone; }
-    /// Sets a hook that is called once when the caller closes its connection early.
+    /// Sets a callback that is called once if the caller closes its connection early.
     void setCallerGoneHook(std::function<void()> hook) { m_callerGoneHook = std::move(hook); }
 
-    /// Sends a whole answer.
+    /// Sends a complete response.
     virtual boost::asio::awaitable<void> respond(Response response) = 0;
-    /// Sends the head of a chunked answer.
+    /// Sends the status line and headers of a chunked response.
     virtual boost::asio::awaitable<void> startStream(unsigned status, Headers headers) = 0;
-    /// Sends one chunk. Throws when the caller is gone or takes no data for too long.
+    /// Sends one chunk. Throws when the caller has disconnected or accepts no data for too long.
     virtual boost::asio::awaitable<void> write(std::string chunk) = 0;
-    /// Ends a chunked answer.
+    /// Ends a chunked response.
     virtual boost::asio::awaitable<void> finishStream() = 0;
 
 protected:
@@ -45,10 +45,10 @@
     std::function<void()> m_callerGoneHook;
 };
 
-/// The answer for an error of the closed list, with Retry-After where the table has one.
+/// Returns the response for an error, with Retry-After if errorKindTable() has one.
 Response errorResponse(const Core::Error &error);
 
-/// A whole JSON answer.
+/// Returns a complete JSON response.
 Response jsonResponse(unsigned status, std::string body);
 
 } // namespace Http
--- a/Libraries/LibHttp/ServerSession.cpp
+++ b/Libraries/LibHttp/ServerSession.cpp
@@ -20,8 +20,8 @@
 
 using StringResponse = http::response<http::string_body>;
 
-/// Answers over a connection. Shared with the wait for the caller's close, which may end later
-/// than the exchange does.
+/// Sends responses over a connection. Shared with the wait for the caller's disconnect, which may
+/// complete after the exchange has ended.
 class SessionExchange final : public ServerExchange,
                               public std::enable_shared_from_this<SessionExchange>
 {
@@ -88,7 +88,7 @@
     /// Whether another request may follow on this connection.
     bool mayContinue() const { return m_finished && m_keepAlive && !m_callerGone; }
 
-    /// Notices a caller that closes its connection while the handler still works.
+    /// Detects that the caller closes its connection while the handler is running.
     void watchForClose()
     {
         m_stream.socket().async_wait(
@@ -101,7 +101,7 @@
                 if (n > 0)
                     return;
                 if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
-                    // The readiness of bytes that were read before; the close is still to come.
+                    // Woken up by bytes that were already read; the connection is not closed yet.
                     self->watchForClose();
                     return;
                 }
@@ -109,7 +109,7 @@
             });
     }
 
-    /// Ends the wait for the caller's close. The stream may be gone afterwards.
+    /// Stops the wait for the caller's disconnect. The stream may be destroyed afterwards.
     void endWatch()
     {
         m_done = true;
@@ -137,7 +137,7 @@
     bool m_done = false;
 };
 
-/// Ends the wait for the caller's close before the connection goes, however the exchange ends.
+/// Stops the wait for the caller's disconnect before the connection is destroyed.
 class WatchGuard
 {
 public:
@@ -154,7 +154,7 @@
     SessionExchange &m_exchange;
 };
 
-/// Counts a running exchange for as long as it lives.
+/// Counts a running exchange during the lifetime of the guard.
 class ActiveGuard
 {
 public:
@@ -171,8 +171,8 @@
     Server::Shared &m_shared;
 };
 
-/// Cancels a read that takes too long. The stream's own timeout would close the connection, and
-/// the caller could not be told why.
+/// Cancels a read that takes too long. The stream's own timeout would close the connection, so that
+/// no error response could be sent.
 class ReadDeadline
 {
 public:
@@ -236,7 +236,7 @@
     } catch (const Core::Error &error) {
         failure = error;
     } catch (const boost::system::system_error &) {
-        // The caller's connection broke; there is nobody to answer.
+        // The caller's connection was lost, so no response can be sent.
         co_return;
     } catch (const std::exception &fault) {
         Core::logEvent(Core::EventId::InternalFault, {{"what", fault.what()}});
@@ -246,7 +246,7 @@
         co_await exchange.respond(errorResponse(*failure));
 }
 
-/// Waits for the first byte under the idle time, so that a slow request can be told from none.
+/// Waits for the first byte up to the idle limit, to tell a slow request from an idle caller.
 asio::awaitable<bool> awaitFirstByte(beast::tcp_stream &stream, beast::flat_buffer &buf,
                                      const ServerLimits &limits, IdleConnections &idle)
 {
@@ -270,7 +270,7 @@
     const bool hasBegun = co_await awaitFirstByte(stream, buf, *limits, shared.idle);
     if (!hasBegun)
         co_return false;
-    // A request counts from its first byte on, so that a graceful shutdown waits for it.
+    // A request counts as active from its first byte, so that a graceful shutdown waits for it.
     const ActiveGuard guard(shared);
     http::request_parser<http::string_body> parser;
     parser.header_limit(static_cast<std::uint32_t>(limits->headerBytes));
@@ -288,7 +288,7 @@
         co_await http::async_read(stream, buf, parser,
                                   asio::redirect_error(asio::use_awaitable, ec));
     const bool isLate = deadline->hasExpired();
-    // Only reading is bound by it: later it would cancel the answer and the wait for the close.
+    // It limits only reading: left running, it would cancel the response and the close watch.
     deadline.reset();
     if (ec && isLate) {
         co_await refuse(stream, shared, *limits, Core::Error(Core::ErrorKind::SlowCaller));
@@ -319,7 +319,7 @@
         while (goesOn)
             goesOn = co_await serveOne(stream, buf, *shared);
     } catch (const boost::system::system_error &) {
-        // The connection broke; the next lines close what is left of it.
+        // The connection was lost; the socket is closed below.
     }
     boost::system::error_code ec;
     stream.socket().shutdown(asio::ip::tcp::socket::shutdown_both, ec);
--- a/Libraries/LibHttp/ServerSession.h
+++ b/Libraries/LibHttp/ServerSession.h
@@ -9,7 +9,7 @@
 
 namespace Http {
 
-/// Serves the requests of one connection, one after the other, until it ends.
+/// Serves the requests of a connection sequentially until it closes.
 boost::asio::awaitable<void> serveConnection(boost::asio::ip::tcp::socket socket,
                                              std::shared_ptr<Server::Shared> shared);
 
--- a/Libraries/LibPeer/FrameStream.cpp
+++ b/Libraries/LibPeer/FrameStream.cpp
@@ -109,7 +109,7 @@
     if (role == Role::Client)
         co_await stream.write(handshake.hello());
     const auto hello = co_await stream.read(MaxHandshakeFrameBytes);
-    // Sent before the other hello is judged, so that both sides learn of incompatible versions.
+    // Sent before the other hello is checked, so that both sides detect incompatible versions.
     if (role == Role::Server)
         co_await stream.write(handshake.hello());
     auto peer = handshake.readHello(hello).value();
--- a/Libraries/LibPeer/FrameStream.h
+++ b/Libraries/LibPeer/FrameStream.h
@@ -17,16 +17,16 @@
 
 namespace Peer {
 
-/// Length frames on a TCP socket: four bytes of length, most significant first, then that many
+/// Length-prefixed frames on a TCP socket: four bytes of length in big-endian order, then that many
 /// bytes. After setKeys() the last 16 of them are an HMAC over the frame's number in its direction
-/// and the payload, so that a frame that was changed, repeated or left out ends the link. Content
+/// and the payload, so that a modified, repeated or missing frame ends the link. Content
 /// is authenticated, not encrypted. One reader and one writer at a time, on the socket's strand.
 class FrameStream
 {
 public:
     FrameStream(boost::asio::ip::tcp::socket socket, PeerCounters &counters);
 
-    /// From here on frames are authenticated.
+    /// Enables the authentication of all following frames.
     void setKeys(FrameKeys keys) { m_keys = std::move(keys); }
 
     /// Reads one frame's payload. Throws Error(FrameInvalid) for a frame that is too large or
@@ -49,7 +49,7 @@
     std::uint64_t m_received = 0;
 };
 
-/// Closes a stream unless the watchdog is destroyed within the time.
+/// Closes a stream unless the watchdog is destroyed before the timeout.
 class Watchdog
 {
 public:
--- a/Libraries/LibPeer/Handshake.h
+++ b/Libraries/LibPeer/Handshake.h
@@ -8,7 +8,7 @@
 
 namespace Peer {
 
-/// Which side of a connection a process is.
+/// The role of a process on a connection.
 enum class Role {
     Client,
     Server,
@@ -21,29 +21,29 @@
     std::string receiving;
 };
 
-/// One side of the handshake, without any input or output: the caller carries the frames.
+/// One side of the handshake, without I/O: the caller sends and receives the frames.
 ///
 /// The client sends its hello, the server answers with its own, the client proves that it holds
 /// the shared key, and then the server does. A proof is an HMAC over the role of its sender and
-/// both hellos, so that environment, version, identity, incarnation and both nonces are bound
-/// into it and a proof that is sent back is worth nothing. The frame keys come from the same
-/// transcript and are new with each connection.
+/// both hellos, so that it covers environment, version, identity, incarnation and both nonces, and
+/// a reflected proof is not valid. The frame keys are derived from the same transcript and differ
+/// for each connection.
 class Handshake
 {
 public:
     Handshake(const PeerSettings &settings, Role role);
 
-    /// The payload of this side's hello.
+    /// Returns the payload of this side's hello.
     const std::string &hello() const { return m_ownHello; }
 
-    /// Reads the other side's hello. Gives Error(PeerRejected) or Error(FrameInvalid) when the
-    /// link cannot be; incompatible() tells whether versions were the cause.
+    /// Reads the other side's hello. Fails with PeerRejected or FrameInvalid when it is not
+    /// acceptable; incompatible() returns whether the versions were the cause.
     Core::Result<PeerIdentity> readHello(std::string_view payload);
 
-    /// The payload of this side's proof. Call after readHello().
+    /// Returns the payload of this side's proof. Call after readHello().
     std::string proof() const;
 
-    /// Whether the payload proves that the other side holds the shared key.
+    /// Returns whether the payload proves that the other side has the shared key.
     bool verifyProof(std::string_view payload) const;
 
     FrameKeys frameKeys() const;
--- a/Libraries/LibPeer/PeerClient.cpp
+++ b/Libraries/LibPeer/PeerClient.cpp
@@ -67,7 +67,7 @@
         const auto peerLink = co_await linkOnStrand(address);
         peerLink->send(std::move(body));
     } catch (const Core::Error &) {
-        // One-way messages promise no delivery.
+        // The delivery of one-way messages is not guaranteed.
     }
 }
 
@@ -166,7 +166,7 @@
 
 void PeerClient::dropLeastRecentlyUsed()
 {
-    // Long enough that a sibling's growing retry pause is not forgotten too early.
+    // Long enough to keep a sibling's retry back-off until it has expired.
     const auto horizon = steady_clock::now() - 2 * m_settings.longestRetryPause;
     std::erase_if(m_entries, [horizon](const auto &item) {
         const auto &entry = *item.second;
--- a/Libraries/LibPeer/PeerClient.h
+++ b/Libraries/LibPeer/PeerClient.h
@@ -15,17 +15,17 @@
 
 namespace Peer {
 
-/// Where a sibling is reached, and which process is meant.
+/// The address of a sibling and, optionally, the expected process.
 struct PeerAddress
 {
     boost::asio::ip::tcp::endpoint endpoint;
-    /// When given, a process with another incarnation at the address is refused with
-    /// Error(PeerRejected), and nothing is sent to it.
+    /// If set, calls fail with Error(PeerRejected), without sending anything, when the process at
+    /// the address has another incarnation.
     std::optional<std::uint64_t> incarnation;
 };
 
-/// The outgoing links of a process, one for each address, made when they are first needed and
-/// kept. After a failed connect, calls fail at once until a pause has passed. All functions are
+/// The outgoing links of a process, one per address, opened on first use and kept open. After a
+/// failed connect, calls fail immediately until a back-off has passed. All functions are
 /// safe from any thread.
 class PeerClient : public std::enable_shared_from_this<PeerClient>
 {
@@ -41,7 +41,7 @@
     boost::asio::awaitable<Body> request(PeerAddress address, Body body,
                                          std::chrono::milliseconds timeout);
 
-    /// Sends a one-way message, and makes the link if there is none. A message that cannot be
+    /// Sends a one-way message and opens a link if there is none. A message that cannot be
     /// sent is dropped.
     void send(PeerAddress address, Body body);
 
@@ -56,7 +56,7 @@
         { }
         std::shared_ptr<PeerLink> link;
         bool connecting = false;
-        /// Cancelled when an attempt to connect ends.
+        /// Never expires; cancelled to wake up the waiting calls when a connect attempt ends.
         boost::asio::steady_timer settled;
         std::chrono::steady_clock::time_point retryAt;
         std::chrono::milliseconds pause {0};
--- a/Libraries/LibPeer/PeerLink.cpp
+++ b/Libraries/LibPeer/PeerLink.cpp
@@ -51,7 +51,7 @@
 
 asio::awaitable<Body> PeerLink::request(Body body, std::chrono::milliseconds timeout)
 {
-    // The timeout runs on the strand, where answers arrive.
+    // The timeout runs on the same strand on which responses arrive.
     auto work = requestOnStrand(std::move(body), timeout);
     co_return co_await asio::co_spawn(m_executor, std::move(work), asio::use_awaitable);
 }
@@ -144,7 +144,7 @@
     const auto self = shared_from_this();
     try {
         while (m_open) {
-            // Only the accepting side gives up idle links; the other one closes them by its limit.
+            // Normally the accepting side closes idle links; the other side waits twice as long.
             const auto limit =
                 role == Role::Server ? m_settings.idleTimeout : m_settings.idleTimeout * 2;
             const Watchdog watchdog(m_stream, limit);
@@ -157,7 +157,7 @@
         Core::logEvent(Core::EventId::PeerFrameInvalid,
                        {{"peer", m_peer.instance.value()}, {"detail", error.detail()}});
     } catch (const boost::system::system_error &) {
-        // The connection ended; closing below is all there is to do.
+        // The connection ended; the link is closed below.
     }
     closeOnStrand();
 }
@@ -195,7 +195,7 @@
 
 void PeerLink::receiveResponse(std::uint64_t id, Body body)
 {
-    // A late answer finds nobody waiting and is dropped: its id is never used again.
+    // A response that arrives after the timeout is dropped; ids are never reused.
     const auto it = m_waiting.find(id);
     if (it == m_waiting.end())
         return;
--- a/Libraries/LibPeer/PeerLink.h
+++ b/Libraries/LibPeer/PeerLink.h
@@ -18,44 +18,44 @@
 
 namespace Peer {
 
-/// What is done with messages that arrive on a link. The hooks run on the link's strand.
+/// Handlers of the messages that arrive on a link. They run on the link's strand.
 struct PeerHandlers
 {
-    /// Answers a request. An Error that it throws becomes a refusal.
+    /// Returns the response to a request. An Error that it throws is sent as a Refusal.
     std::function<boost::asio::awaitable<Body>(PeerIdentity peer, Body request)> onRequest;
-    /// Takes a one-way message. Must not block.
+    /// Handles a one-way message. Must not block.
     std::function<void(const PeerIdentity &peer, Body message)> onMessage;
 };
 
 /// An authenticated connection with one sibling, on which both sides send requests and one-way
 /// messages. The public functions are safe from any thread.
 ///
-/// There are no heartbeats: 340 nodes that keep links to each other would spend their control
-/// budget on them. A peer that is frozen, or whose way back is cut, shows when a request gets no
-/// answer; if nothing at all arrived while it waited, the link is closed, so that the next request
-/// makes a new one.
+/// There are no heartbeats: with links between 340 nodes they would use up the bandwidth for
+/// control traffic. A frozen peer, or a path that fails in one direction, is detected when a
+/// request times out; if no frame arrived in the meantime, the link is closed, so that the next one
+/// opens a new one.
 class PeerLink : public std::enable_shared_from_this<PeerLink>
 {
 public:
-    /// Takes over a stream that has passed the handshake. Settings and counters must outlive it.
+    /// Creates a link on a stream after its handshake. Settings and counters must outlive it.
     static std::shared_ptr<PeerLink> create(std::shared_ptr<FrameStream> stream, PeerIdentity peer,
                                             PeerHandlers handlers, const PeerSettings &settings,
                                             PeerCounters &counters);
 
     const PeerIdentity &peer() const { return m_peer; }
 
-    /// Starts reading and writing. The link lives until its connection ends.
+    /// Starts reading and writing, which keeps the link alive until its connection ends.
     void start(Role role);
 
-    /// Sends a request and waits for the answer. Throws Error(PeerUnavailable) when none came
-    /// within the timeout, the link ended or its queue is full. The peer may have acted all the
-    /// same.
+    /// Sends a request and waits for the response. Throws Error(PeerUnavailable) when none arrives
+    /// within the timeout, the link is closed or its queue is full. The peer may have processed the
+    /// request nevertheless.
     boost::asio::awaitable<Body> request(Body body, std::chrono::milliseconds timeout);
 
     /// Sends a one-way message. It is dropped and counted when the link's queue is full.
     void send(Body body);
 
-    /// Ends the connection. Waiting requests fail.
+    /// Closes the connection. Pending requests fail.
     void close();
 
     bool isOpen() const { return m_open; }
--- a/Libraries/LibPeer/PeerMessage.cpp
+++ b/Libraries/LibPeer/PeerMessage.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// A message nests no deeper than envelope, body, list element; the rest is slack for newer peers.
+// A message nests envelope, body and list element; the rest is headroom for newer peers.
 constexpr unsigned MaxDepth = 16;
 constexpr unsigned MaxTables = 100'000;
 
--- a/Libraries/LibPeer/PeerMessage.h
+++ b/Libraries/LibPeer/PeerMessage.h
@@ -11,11 +11,11 @@
 
 namespace Peer {
 
-/// The body of a message: one of the tables of PeerMessage.fbs, or a kind that a newer peer
-/// added, whose value is then null. It can be moved but not copied.
+/// The body of a message: one of the tables of PeerMessage.fbs. The value is null for a kind that
+/// only newer peers know. It can be moved but not copied.
 using Body = Wire::BodyUnion;
 
-/// What is sent on a link: a body, and for requests and responses the id that pairs them.
+/// A message on a link: a body, and the id that matches a response with its request.
 using Message = Wire::EnvelopeT;
 
 /// Wraps one of the tables as a body.
@@ -27,20 +27,20 @@
     return body;
 }
 
-/// The body that answers a request which could not be met.
+/// Returns the response body that reports an error.
 Body makeRefusal(const Core::Error &error);
 
 /// Encodes a message as one frame's payload.
 std::string encodeMessage(Wire::Purpose purpose, std::uint64_t id, const Body &body);
 
-/// Decodes one frame's payload, or gives Error(FrameInvalid) when the buffer does not verify.
+/// Decodes one frame's payload. Fails with FrameInvalid when the buffer does not verify.
 /// Fields and body kinds that this program does not know are skipped.
 Core::Result<Message> decodeMessage(std::string_view payload);
 
-/// Whether the body is of a kind that this program knows.
+/// Returns whether the body is of a kind that this program knows.
 bool isKnown(const Body &body);
 
-/// Takes the wanted table out of a response. Throws the Error that a refusal names, and
+/// Moves the expected table out of a response. Throws Error(PeerRejected) for a refusal, and
 /// Error(FrameInvalid) when the response is of another kind.
 template <typename Table>
 Table takeReply(Body &body)
--- a/Libraries/LibPeer/PeerServer.cpp
+++ b/Libraries/LibPeer/PeerServer.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Gives the process time to free descriptors when accept fails for want of them.
+// Delay after a failed accept, for example when the process has run out of file descriptors.
 constexpr std::chrono::milliseconds AcceptPause {50};
 
 } // namespace
@@ -124,7 +124,7 @@
         keep(link);
         link->start(Role::Server);
     } catch (const Core::Error &) {
-        // Counted and logged where it was found.
+        // introduce() has already counted and logged the failure.
         stream->close();
     }
     std::scoped_lock lock(m_mutex);
--- a/Libraries/LibPeer/PeerServer.h
+++ b/Libraries/LibPeer/PeerServer.h
@@ -14,23 +14,23 @@
 namespace Peer {
 
 /// Accepts the links of siblings. A connection that fails the handshake is closed, counted and
-/// logged. Links go on until they end or stop() is called.
+/// logged. Links stay open until the connection ends or stop() is called.
 class PeerServer : public std::enable_shared_from_this<PeerServer>
 {
 public:
-    /// Opens the port. Gives Error(SettingsInvalid) when it cannot be had. Settings and counters
+    /// Opens the port. Fails with SettingsInvalid when that is not possible. Settings and counters
     /// must outlive the server and its links.
     static Core::Result<std::shared_ptr<PeerServer>>
     create(boost::asio::io_context &context, const boost::asio::ip::tcp::endpoint &endpoint,
            PeerHandlers handlers, const PeerSettings &settings, PeerCounters &counters);
 
-    /// Begins to accept.
+    /// Starts accepting connections.
     void start();
 
     /// Closes the port and every link. Safe from any thread.
     void stop();
 
-    /// The address in use, with the port that the system chose if none was named.
+    /// The local address, with the port that the system selected if it was 0.
     boost::asio::ip::tcp::endpoint endpoint() const { return m_endpoint; }
 
 private:
--- a/Libraries/LibPeer/PeerSettings.h
+++ b/Libraries/LibPeer/PeerSettings.h
@@ -11,26 +11,26 @@
 
 namespace Peer {
 
-/// The versions of the peer protocol that a program can read. Two peers speak the lower of their
-/// newest versions, if both read it.
+/// The versions of the peer protocol that a program supports. Two peers use the lower of their
+/// newest versions, if both support it.
 struct VersionRange
 {
     std::uint16_t lowest = 1;
     std::uint16_t newest = 1;
 };
 
-/// Who a process is, as it says in its handshake.
+/// The identity of a process as announced in its handshake.
 struct PeerIdentity
 {
     Core::InstanceId instance;
     Core::DataCentreId dataCentre;
-    /// Differs between two processes that use the same instance id one after the other.
+    /// Distinguishes successive processes that use the same instance id.
     std::uint64_t incarnation = 0;
     /// The protocol version that both sides of the link agreed on.
     std::uint16_t version = 0;
 };
 
-/// What both ends of the peer link need to know.
+/// Settings of peer links, used by client and server.
 struct PeerSettings
 {
     std::string environment;
@@ -40,34 +40,34 @@
     VersionRange versions;
     std::chrono::milliseconds connectTimeout {1'000};
     std::chrono::milliseconds handshakeTimeout {2'000};
-    /// A peer that takes no bytes for this long is given up.
+    /// A link whose peer accepts no bytes for this long is closed.
     std::chrono::milliseconds writeTimeout {5'000};
     /// An accepted link on which nothing arrives for this long is closed.
     std::chrono::milliseconds idleTimeout {std::chrono::minutes(10)};
-    /// The first pause after a failed connect; it doubles up to the longest one.
+    /// The first back-off after a failed connect; it doubles up to the longest one.
     std::chrono::milliseconds retryPause {100};
     std::chrono::milliseconds longestRetryPause {2'000};
     /// The largest payload of a frame that is sent or read.
     std::size_t maxFrameBytes = 1U << 20;
-    /// The bytes that may wait to be written on one link.
+    /// Maximum number of bytes queued for writing on one link.
     std::size_t maxQueuedBytes = 4U << 20;
-    /// The requests of one peer that may run at a time.
+    /// Maximum number of concurrent requests of one peer.
     std::size_t maxRunningRequests = 256;
-    /// Accepted connections, those in their handshake included.
+    /// Maximum number of accepted connections, including those in their handshake.
     std::size_t maxConnections = 1'024;
-    /// Outgoing links kept open; the one unused for longest is closed first.
+    /// Maximum number of outgoing links; the least recently used one is closed first.
     std::size_t maxOutgoingLinks = 512;
 
-    /// Throws Error(SettingsInvalid) when a field cannot be worked with.
+    /// Throws Error(SettingsInvalid) when a field has an invalid value.
     void check() const;
 };
 
-/// What has happened on the peer links of a process. Safe to read from any thread.
+/// Counters of the peer links of a process. Safe to read from any thread.
 struct PeerCounters
 {
     std::atomic<std::uint64_t> accepted {0};
     std::atomic<std::uint64_t> connected {0};
-    /// Connections that failed the handshake, incompatible ones not included.
+    /// Connections that failed the handshake, excluding incompatible ones.
     std::atomic<std::uint64_t> rejected {0};
     std::atomic<std::uint64_t> incompatible {0};
     /// Frames that were too large, failed authentication or did not verify.
@@ -75,7 +75,7 @@
     /// Messages of a kind that only newer programs know.
     std::atomic<std::uint64_t> unknownMessages {0};
     std::atomic<std::uint64_t> requestsTimedOut {0};
-    /// Messages that found the queue of their link full.
+    /// Messages dropped because the queue of their link was full.
     std::atomic<std::uint64_t> queueOverflows {0};
     std::atomic<std::uint64_t> bytesSent {0};
     std::atomic<std::uint64_t> bytesReceived {0};
--- a/Tests/LibCore/TestLogging.cpp
+++ b/Tests/LibCore/TestLogging.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A pipe whose reader stands still until it is told to read.
+/// A pipe that is only read by readAll().
 struct Pipe
 {
     Pipe() { REQUIRE(::pipe(ends.data()) == 0); }
@@ -47,7 +47,7 @@
     CHECK(refused > 0);
     CHECK(writer.pendingBytes() <= 100'000);
     CHECK(writer.takeLeftOut() == refused);
-    // Lines of failures still find room.
+    // Important lines still fit into the reserved capacity.
     CHECK(writer.write("a failure", true));
     auto text = pipe.readAll();
     while (writer.pendingBytes() > 0) {
--- a/Tests/LibHttp/TestServer.cpp
+++ b/Tests/LibHttp/TestServer.cpp
@@ -53,7 +53,7 @@
             .get();
     }
 
-    /// Sends raw bytes and returns all that comes back before the server closes.
+    /// Sends raw bytes and returns everything received until the server closes the connection.
     std::string sendRaw(const std::string &bytes) const
     {
         asio::io_context context;
--- a/Tests/LibPeer/PeerFixture.h
+++ b/Tests/LibPeer/PeerFixture.h
@@ -11,7 +11,7 @@
 #include <thread>
 #include <vector>
 
-/// Settings of one instance of the tests' environment.
+/// Returns the settings of one instance in the test environment.
 inline Peer::PeerSettings peerSettings(const std::string &instance)
 {
     Peer::PeerSettings settings;
@@ -21,7 +21,7 @@
     return settings;
 }
 
-/// Runs an io_context on several threads for the length of a test.
+/// Runs an io_context on several threads during a test.
 class PeerThreads
 {
 public:
@@ -42,7 +42,7 @@
 
     boost::asio::io_context &context() { return m_context; }
 
-    /// Runs a coroutine to its end and gives its result or throws its error.
+    /// Runs a coroutine to completion and returns its result or throws its error.
     template <typename T>
     T wait(boost::asio::awaitable<T> work)
     {
@@ -55,7 +55,7 @@
     std::vector<std::thread> m_threads;
 };
 
-/// Answers each claim query with its own key as the answer.
+/// Returns handlers that answer each claim query with the key of the query.
 inline Peer::PeerHandlers echoHandlers()
 {
     Peer::PeerHandlers handlers;
--- a/Tests/LibPeer/TestPeerLink.cpp
+++ b/Tests/LibPeer/TestPeerLink.cpp
@@ -53,7 +53,7 @@
     std::shared_ptr<Peer::PeerClient> client;
 };
 
-/// Sends raw bytes to a server and waits until it ends the connection.
+/// Sends raw bytes to a server and waits until it closes the connection.
 void sendStray(const tcp::endpoint &endpoint, const std::string &bytes)
 {
     asio::io_context context;
