--- a/Libraries/LibCore/ErrorKind.cpp
+++ b/Libraries/LibCore/ErrorKind.cpp
@@ -55,7 +55,7 @@
 };
 // clang-format on
 
-constexpr bool rowsFollowEnumeration()
+constexpr bool rowsMatchEnumeration()
 {
     for (std::size_t n = 0; n < Rows.size(); ++n) {
         if (static_cast<std::size_t>(Rows[n].kind) != n)
@@ -63,7 +63,7 @@
     }
     return Rows.size() == static_cast<std::size_t>(ErrorKind::Internal) + 1;
 }
-static_assert(rowsFollowEnumeration());
+static_assert(rowsMatchEnumeration());
 
 } // namespace
 
--- a/Libraries/LibCore/EventLog.cpp
+++ b/Libraries/LibCore/EventLog.cpp
@@ -25,11 +25,11 @@
 std::atomic<LogFormat> theFormat {LogFormat::Text};
 std::atomic<EventLevel> theLowestLevel {EventLevel::Info};
 std::atomic<bool> theIsConfigured {false};
-std::once_flag theSetUp;
+std::once_flag theConfigureOnce;
 
 // Maximum number of bytes buffered while the reader of standard output is stalled.
 constexpr std::size_t PendingBytes = 256 * 1024;
-constexpr std::chrono::seconds LeftOutInterval {1};
+constexpr std::chrono::seconds DroppedReportInterval {1};
 
 /// Limits the output to standard output and counts the lines that were dropped.
 class BoundedOutput
@@ -48,20 +48,20 @@
     }
 
     /// Returns and resets the number of dropped lines, at most once per interval; otherwise 0.
-    std::uint64_t takeLeftOut(Clock::Monotonic now)
+    std::uint64_t takeDroppedCount(Clock::Monotonic now)
     {
         const std::scoped_lock lock(m_mutex);
-        if (now - m_said < LeftOutInterval)
+        if (now - m_lastReport < DroppedReportInterval)
             return 0;
-        m_said = now;
-        return m_rateLimiter.takeLeftOut() + m_writer.takeLeftOut();
+        m_lastReport = now;
+        return m_rateLimiter.takeDroppedCount() + m_writer.takeDroppedCount();
     }
 
 private:
     std::mutex m_mutex;
     LogRateLimiter m_rateLimiter;
     LineWriter m_writer {STDOUT_FILENO, PendingBytes};
-    Clock::Monotonic m_said;
+    Clock::Monotonic m_lastReport;
 };
 
 std::unique_ptr<BoundedOutput> theBoundedOutput;
@@ -173,7 +173,7 @@
 void logEvent(EventId id, std::initializer_list<EventField> fields)
 {
     // Programs that do not configure logging, such as unit tests, use the text format.
-    std::call_once(theSetUp, [] {
+    std::call_once(theConfigureOnce, [] {
         if (!theIsConfigured)
             configureEventLog(theFormat, theLowestLevel);
     });
@@ -184,7 +184,7 @@
         const auto now = SystemClock().now();
         if (!theBoundedOutput->admit(row.level, now))
             return;
-        if (const auto count = theBoundedOutput->takeLeftOut(now); count > 0)
+        if (const auto count = theBoundedOutput->takeDroppedCount(now); count > 0)
             writeLine(EventLevel::Warning,
                       render(eventRow(EventId::LinesLeftOut), {{"lines", std::to_string(count)}}));
     }
--- a/Libraries/LibCore/LineWriter.cpp
+++ b/Libraries/LibCore/LineWriter.cpp
@@ -16,11 +16,11 @@
 
 bool LineWriter::write(std::string_view line, bool isImportant)
 {
-    const auto room = isImportant ? m_capacity + ReservedBytes : m_capacity;
-    if (m_pending.size() + line.size() + 1 > room) {
+    const auto limitBytes = isImportant ? m_capacity + ReservedBytes : m_capacity;
+    if (m_pending.size() + line.size() + 1 > limitBytes) {
         flush();
-        if (m_pending.size() + line.size() + 1 > room) {
-            ++m_leftOut;
+        if (m_pending.size() + line.size() + 1 > limitBytes) {
+            ++m_droppedCount;
             return false;
         }
     }
@@ -47,9 +47,9 @@
     m_pending.erase(0, written);
 }
 
-std::uint64_t LineWriter::takeLeftOut()
+std::uint64_t LineWriter::takeDroppedCount()
 {
-    return std::exchange(m_leftOut, 0);
+    return std::exchange(m_droppedCount, 0);
 }
 
 } // namespace Core
--- a/Libraries/LibCore/LineWriter.h
+++ b/Libraries/LibCore/LineWriter.h
@@ -24,14 +24,14 @@
     /// Writes as many buffered bytes as possible without blocking.
     void flush();
     /// Returns the number of lines dropped since the last call.
-    std::uint64_t takeLeftOut();
+    std::uint64_t takeDroppedCount();
     std::size_t pendingBytes() const { return m_pending.size(); }
 
 private:
     int m_descriptor;
     std::size_t m_capacity;
     std::string m_pending;
-    std::uint64_t m_leftOut = 0;
+    std::uint64_t m_droppedCount = 0;
 };
 
 } // namespace Core
--- a/Libraries/LibCore/LogRateLimiter.cpp
+++ b/Libraries/LibCore/LogRateLimiter.cpp
@@ -15,16 +15,16 @@
     }
     m_last = now;
     if (m_lines < 1) {
-        ++m_leftOut;
+        ++m_droppedCount;
         return false;
     }
     --m_lines;
     return true;
 }
 
-std::uint64_t LogRateLimiter::takeLeftOut()
+std::uint64_t LogRateLimiter::takeDroppedCount()
 {
-    return std::exchange(m_leftOut, 0);
+    return std::exchange(m_droppedCount, 0);
 }
 
 } // namespace Core
--- a/Libraries/LibCore/LogRateLimiter.h
+++ b/Libraries/LibCore/LogRateLimiter.h
@@ -18,12 +18,12 @@
 
     bool admit(EventLevel level, Clock::Monotonic now);
     /// Returns the number of lines dropped since the last call.
-    std::uint64_t takeLeftOut();
+    std::uint64_t takeDroppedCount();
 
 private:
     double m_lines = Burst;
     Clock::Monotonic m_last = Clock::Monotonic::min();
-    std::uint64_t m_leftOut = 0;
+    std::uint64_t m_droppedCount = 0;
 };
 
 } // namespace Core
--- a/Libraries/LibHttp/Client.cpp
+++ b/Libraries/LibHttp/Client.cpp
@@ -26,7 +26,7 @@
 
 constexpr std::size_t ReadBytes = 16 * 1024;
 constexpr std::size_t HeaderLimitBytes = 64 * 1024;
-constexpr std::size_t KeptConnectionsPerEndpoint = 64;
+constexpr std::size_t MaxIdleConnectionsPerEndpoint = 64;
 
 /// A connection and its read buffer.
 struct Connection
@@ -74,7 +74,7 @@
     return std::chrono::seconds(seconds);
 }
 
-Core::Error sentError(const boost::system::error_code &ec)
+Core::Error errorAfterSend(const boost::system::error_code &ec)
 {
     if (ec == beast::error::timeout)
         return Core::Error(Core::ErrorKind::UpstreamTimedOut);
@@ -127,22 +127,22 @@
     ConnectionPtr take(const Key &key)
     {
         std::scoped_lock lock(mutex);
-        auto &kept = idle[key];
-        while (!kept.empty()) {
-            auto connection = std::move(kept.back());
-            kept.pop_back();
+        auto &pooled = idle[key];
+        while (!pooled.empty()) {
+            auto connection = std::move(pooled.back());
+            pooled.pop_back();
             if (isUsable(*connection))
                 return connection;
         }
         return nullptr;
     }
 
-    void keep(const Key &key, ConnectionPtr connection)
+    void put(const Key &key, ConnectionPtr connection)
     {
         std::scoped_lock lock(mutex);
-        auto &kept = idle[key];
-        if (kept.size() < KeptConnectionsPerEndpoint)
-            kept.push_back(std::move(connection));
+        auto &pooled = idle[key];
+        if (pooled.size() < MaxIdleConnectionsPerEndpoint)
+            pooled.push_back(std::move(connection));
     }
 
     std::mutex mutex;
@@ -168,8 +168,8 @@
     unsigned status() const override { return m_parser.get().result_int(); }
     const Headers &headers() const override { return m_headers; }
 
-    asio::awaitable<boost::system::error_code> exchangeHeads(const Endpoint &endpoint,
-                                                             Request request)
+    asio::awaitable<boost::system::error_code> sendAndReadHeaders(const Endpoint &endpoint,
+                                                                  Request request)
     {
         auto message = toBeast(endpoint, std::move(request));
         auto &stream = m_connection->stream;
@@ -189,20 +189,20 @@
 
     asio::awaitable<std::optional<std::string>> readSome() override
     {
-        std::array<char, ReadBytes> piece;
+        std::array<char, ReadBytes> chunk;
         while (!m_parser.is_done()) {
             auto &body = m_parser.get().body();
-            body.data = piece.data();
-            body.size = piece.size();
+            body.data = chunk.data();
+            body.size = chunk.size();
             m_connection->stream.expires_after(m_timeouts.body);
             boost::system::error_code ec;
             co_await http::async_read_some(m_connection->stream, m_connection->buf, m_parser,
                                            asio::redirect_error(asio::use_awaitable, ec));
             if (ec && ec != http::error::need_buffer)
-                throw sentError(ec);
-            const auto n = piece.size() - body.size;
+                throw errorAfterSend(ec);
+            const auto n = chunk.size() - body.size;
             if (n > 0)
-                co_return std::string(piece.data(), n);
+                co_return std::string(chunk.data(), n);
         }
         release();
         co_return std::nullopt;
@@ -228,7 +228,7 @@
         m_connection->stream.expires_never();
         ++m_connection->call;
         if (const auto shared = m_shared.lock())
-            shared->keep(m_key, std::move(m_connection));
+            shared->put(m_key, std::move(m_connection));
     }
 
     std::weak_ptr<Client::Shared> m_shared;
@@ -312,24 +312,25 @@
             || (options.maySend && !options.maySend()))
             throw Core::Error(Core::ErrorKind::UpstreamUnreachable, "withdrawn before sending");
     };
-    if (auto kept = options.use == ConnectionUse::PooledOrNew ? m_shared->take(key) : nullptr) {
+    if (auto pooled = options.use == ConnectionUse::PooledOrNew ? m_shared->take(key) : nullptr) {
         ensureMaySend();
-        bindAbort(options, kept);
-        auto exchange = std::make_unique<PooledExchange>(m_shared, key, std::move(kept), timeouts);
-        const auto ec = co_await exchange->exchangeHeads(endpoint, request);
+        bindAbort(options, pooled);
+        auto exchange =
+            std::make_unique<PooledExchange>(m_shared, key, std::move(pooled), timeouts);
+        const auto ec = co_await exchange->sendAndReadHeaders(endpoint, request);
         if (!ec)
             co_return exchange;
         const bool isAborted = options.abort && options.abort->isAborted();
         if (ec == beast::error::timeout || !options.mayRepeat || isAborted)
-            throw sentError(ec);
+            throw errorAfterSend(ec);
         // The idle connection failed, and the request may be repeated on a new one.
     }
     auto connection = co_await connect(executor, endpoint, timeouts.connect, options);
     ensureMaySend();
     auto exchange =
         std::make_unique<PooledExchange>(m_shared, key, std::move(connection), timeouts);
-    if (const auto ec = co_await exchange->exchangeHeads(endpoint, std::move(request)); ec)
-        throw sentError(ec);
+    if (const auto ec = co_await exchange->sendAndReadHeaders(endpoint, std::move(request)); ec)
+        throw errorAfterSend(ec);
     co_return exchange;
 }
 
@@ -340,8 +341,8 @@
     Response response;
     response.status = exchange->status();
     response.headers = exchange->headers();
-    while (auto piece = co_await exchange->readSome()) {
-        response.body += *piece;
+    while (auto chunk = co_await exchange->readSome()) {
+        response.body += *chunk;
         if (response.body.size() > bodyLimit)
             throw Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "the answer is too large");
     }
--- a/Libraries/LibPeer/FrameStream.cpp
+++ b/Libraries/LibPeer/FrameStream.cpp
@@ -137,9 +137,9 @@
 
 } // namespace
 
-asio::awaitable<PeerIdentity> introduce(std::shared_ptr<FrameStream> stream,
-                                        const PeerSettings &settings, Role role,
-                                        PeerCounters &counters)
+asio::awaitable<PeerIdentity> performHandshake(std::shared_ptr<FrameStream> stream,
+                                               const PeerSettings &settings, Role role,
+                                               PeerCounters &counters)
 {
     Handshake handshake(settings, role);
     const Watchdog watchdog(stream, settings.handshakeTimeout);
--- a/Libraries/LibPeer/FrameStream.h
+++ b/Libraries/LibPeer/FrameStream.h
@@ -63,8 +63,8 @@
 /// Runs the handshake in the given role and sets the stream's frame keys. Counts and logs a
 /// failure, then throws Error(PeerRejected) or Error(FrameInvalid); a connection that ends or
 /// takes longer than the handshake timeout is Error(PeerRejected) too.
-boost::asio::awaitable<PeerIdentity> introduce(std::shared_ptr<FrameStream> stream,
-                                               const PeerSettings &settings, Role role,
-                                               PeerCounters &counters);
+boost::asio::awaitable<PeerIdentity> performHandshake(std::shared_ptr<FrameStream> stream,
+                                                      const PeerSettings &settings, Role role,
+                                                      PeerCounters &counters);
 
 } // namespace Peer
--- a/Libraries/LibPeer/PeerClient.cpp
+++ b/Libraries/LibPeer/PeerClient.cpp
@@ -135,7 +135,7 @@
 
 void PeerClient::noteFailure(Entry &entry) const
 {
-    entry.pause = std::clamp(entry.pause * 2, m_settings.retryPause, m_settings.longestRetryPause);
+    entry.pause = std::clamp(entry.pause * 2, m_settings.retryPause, m_settings.maxRetryPause);
     entry.retryAt = steady_clock::now() + entry.pause;
 }
 
@@ -161,13 +161,13 @@
         co_await stream->socket().async_connect(endpoint, asio::use_awaitable);
     }
     stream->socket().set_option(tcp::no_delay(true));
-    co_return co_await introduce(stream, m_settings, Role::Client, m_counters);
+    co_return co_await performHandshake(stream, m_settings, Role::Client, m_counters);
 }
 
 void PeerClient::dropLeastRecentlyUsed()
 {
     // Long enough to keep a sibling's retry back-off until it has expired.
-    const auto horizon = steady_clock::now() - 2 * m_settings.longestRetryPause;
+    const auto horizon = steady_clock::now() - 2 * m_settings.maxRetryPause;
     std::erase_if(m_entries, [horizon](const auto &item) {
         const auto &entry = *item.second;
         const bool open = entry.link && entry.link->isOpen();
--- a/Libraries/LibPeer/PeerServer.cpp
+++ b/Libraries/LibPeer/PeerServer.cpp
@@ -116,7 +116,7 @@
     try {
         boost::system::error_code ec;
         stream->socket().set_option(tcp::no_delay(true), ec);
-        auto peer = co_await introduce(stream, m_settings, Role::Server, m_counters);
+        auto peer = co_await performHandshake(stream, m_settings, Role::Server, m_counters);
         ++m_counters.accepted;
         Core::logEvent(Core::EventId::PeerConnected, {{"peer", peer.instance.value()}});
         const auto link =
@@ -124,7 +124,7 @@
         keep(link);
         link->start(Role::Server);
     } catch (const Core::Error &) {
-        // introduce() has already counted and logged the failure.
+        // performHandshake() has already counted and logged the failure.
         stream->close();
     }
     std::scoped_lock lock(m_mutex);
--- a/Libraries/LibPeer/PeerSettings.h
+++ b/Libraries/LibPeer/PeerSettings.h
@@ -46,7 +46,7 @@
     std::chrono::milliseconds idleTimeout {std::chrono::minutes(10)};
     /// The first back-off after a failed connect; it doubles up to the longest one.
     std::chrono::milliseconds retryPause {100};
-    std::chrono::milliseconds longestRetryPause {2'000};
+    std::chrono::milliseconds maxRetryPause {2'000};
     /// The largest payload of a frame that is sent or read.
     std::size_t maxFrameBytes = 1U << 20;
     /// Maximum number of bytes queued for writing on one link.
--- a/Tests/LibCore/TestLogging.cpp
+++ b/Tests/LibCore/TestLogging.cpp
@@ -46,7 +46,7 @@
         refused += writer.write(line, false) ? 0 : 1;
     CHECK(refused > 0);
     CHECK(writer.pendingBytes() <= 100'000);
-    CHECK(writer.takeLeftOut() == refused);
+    CHECK(writer.takeDroppedCount() == refused);
     // Important lines still fit into the reserved capacity.
     CHECK(writer.write("a failure", true));
     auto text = pipe.readAll();
@@ -62,14 +62,14 @@
 {
     Core::ManualClock clock;
     clock.advance(1h);
-    Core::LogRateLimiter allowance;
+    Core::LogRateLimiter limiter;
     unsigned passed = 0;
     for (int n = 0; n < 20'000; ++n) {
         clock.advance(1ms);
-        passed += allowance.admit(Core::EventLevel::Info, clock.now()) ? 1 : 0;
-        REQUIRE(allowance.admit(Core::EventLevel::Warning, clock.now()));
+        passed += limiter.admit(Core::EventLevel::Info, clock.now()) ? 1 : 0;
+        REQUIRE(limiter.admit(Core::EventLevel::Warning, clock.now()));
     }
     CHECK(passed <= 400 + 20 * 200);
     CHECK(passed >= 20 * 200);
-    CHECK(allowance.takeLeftOut() == 20'000 - passed);
+    CHECK(limiter.takeDroppedCount() == 20'000 - passed);
 }
--- a/Tests/LibPeer/TestHandshake.cpp
+++ b/Tests/LibPeer/TestHandshake.cpp
@@ -25,9 +25,9 @@
 TEST_CASE("a proof that is sent back, replayed or made with another key is refused")
 {
     const auto settings = peerSettings("a");
-    auto stranger = peerSettings("bb");
+    auto otherSettings = peerSettings("bb");
     Handshake client(settings, Role::Client);
-    Handshake server(stranger, Role::Server);
+    Handshake server(otherSettings, Role::Server);
     REQUIRE(client.readHello(server.hello()));
     REQUIRE(server.readHello(client.hello()));
     CHECK_FALSE(client.verifyProof(client.proof()));
@@ -36,7 +36,7 @@
     REQUIRE(again.readHello(server.hello()));
     CHECK_FALSE(again.verifyProof(server.proof()));
 
-    stranger.key = "some other key of enough bytes";
+    otherSettings.key = "some other key of enough bytes";
     CHECK_FALSE(client.verifyProof(server.proof()));
 }
 
--- a/Tests/LibPeer/TestPeerLink.cpp
+++ b/Tests/LibPeer/TestPeerLink.cpp
@@ -27,17 +27,17 @@
     {
         server->start();
     }
-    std::string ask(const std::string &key, std::chrono::milliseconds timeout = 5s)
+    std::string requestKey(const std::string &key, std::chrono::milliseconds timeout = 5s)
     {
         auto body =
             threads.wait(client->request({server->endpoint(), {}}, claimQuery(key), timeout));
         const auto reply = Peer::takeReply<Peer::Wire::ClaimReplyT>(body);
         return {reply.answer.begin(), reply.answer.end()};
     }
-    Core::ErrorKind askInVain(std::chrono::milliseconds timeout = 5s)
+    Core::ErrorKind requestFailureKind(std::chrono::milliseconds timeout = 5s)
     {
         try {
-            ask("key", timeout);
+            requestKey("key", timeout);
         } catch (const Core::Error &error) {
             return error.kind();
         }
@@ -54,7 +54,7 @@
 };
 
 /// Sends raw bytes to a server and waits until it closes the connection.
-void sendStray(const tcp::endpoint &endpoint, const std::string &bytes)
+void sendRawBytes(const tcp::endpoint &endpoint, const std::string &bytes)
 {
     asio::io_context context;
     tcp::socket socket(context);
@@ -89,10 +89,10 @@
 TEST_CASE("strangers and garbled handshakes are dropped and counted, and siblings still served")
 {
     PeerPair pair;
-    sendStray(pair.server->endpoint(), "GET / HTTP/1.1\r\n\r\n");
-    sendStray(pair.server->endpoint(), std::string("\0\0\0\x08garbage!", 12));
+    sendRawBytes(pair.server->endpoint(), "GET / HTTP/1.1\r\n\r\n");
+    sendRawBytes(pair.server->endpoint(), std::string("\0\0\0\x08garbage!", 12));
     CHECK(pair.serverCounters.rejected == 2);
-    CHECK(pair.ask("key") == "key");
+    CHECK(pair.requestKey("key") == "key");
 }
 
 TEST_CASE("a peer with another key, environment or version range is refused")
@@ -107,10 +107,11 @@
         settings.environment = "production";
     if (which == 2)
         settings.versions = {7, 8};
-    const auto stranger = Peer::PeerClient::create(pair.threads.context(), {}, settings, counters);
-    CHECK_THROWS_AS(
-        pair.threads.wait(stranger->request({pair.server->endpoint(), {}}, claimQuery("k"), 5s)),
-        Core::Error);
+    const auto rejectedClient =
+        Peer::PeerClient::create(pair.threads.context(), {}, settings, counters);
+    CHECK_THROWS_AS(pair.threads.wait(rejectedClient->request({pair.server->endpoint(), {}},
+                                                              claimQuery("k"), 5s)),
+                    Core::Error);
     CHECK(counters.incompatible + counters.rejected == 1);
     CHECK(counters.incompatible == (which == 2 ? 1 : 0));
     CHECK(pair.serverCounters.accepted == 0);
@@ -130,17 +131,17 @@
         co_return co_await echo(std::move(peer), std::move(request));
     };
     PeerPair pair(handlers);
-    CHECK(pair.askInVain(50ms) == Core::ErrorKind::PeerUnavailable);
+    CHECK(pair.requestFailureKind(50ms) == Core::ErrorKind::PeerUnavailable);
     CHECK(pair.clientCounters.requestsTimedOut == 1);
     frozen = false;
-    CHECK(pair.ask("key") == "key");
+    CHECK(pair.requestKey("key") == "key");
     CHECK(pair.clientCounters.connected == 2);
 }
 
 TEST_CASE("another process at the address is not sent anything meant for the former one")
 {
     PeerPair pair;
-    CHECK(pair.ask("key") == "key");
+    CHECK(pair.requestKey("key") == "key");
     auto work = pair.client->request({pair.server->endpoint(), 77}, claimQuery("k"), 5s);
     try {
         pair.threads.wait(std::move(work));
@@ -158,10 +159,10 @@
         co_return Peer::Body();
     };
     PeerPair pair(handlers);
-    CHECK(pair.askInVain() == Core::ErrorKind::PeerRejected);
+    CHECK(pair.requestFailureKind() == Core::ErrorKind::PeerRejected);
     pair.server->stop();
-    CHECK(pair.askInVain() == Core::ErrorKind::PeerUnavailable);
-    CHECK(pair.askInVain() == Core::ErrorKind::PeerUnavailable);
+    CHECK(pair.requestFailureKind() == Core::ErrorKind::PeerUnavailable);
+    CHECK(pair.requestFailureKind() == Core::ErrorKind::PeerUnavailable);
 }
 
 TEST_CASE("a frame that is changed on the way ends the link and is counted")
