--- a/Libraries/LibCore/Hash.cpp
+++ b/Libraries/LibCore/Hash.cpp
@@ -58,7 +58,7 @@
 {
     std::string bytes(count, '\0');
     if (RAND_bytes(reinterpret_cast<unsigned char *>(bytes.data()), static_cast<int>(count)) != 1)
-        throw Error(ErrorKind::Internal, "no random bytes");
+        throw Error(ErrorKind::Internal, "RAND_bytes failed");
     return bytes;
 }
 
--- a/Libraries/LibHttp/Client.cpp
+++ b/Libraries/LibHttp/Client.cpp
@@ -310,7 +310,7 @@
     const auto ensureMaySend = [&options] {
         if ((options.abort && options.abort->isAborted())
             || (options.maySend && !options.maySend()))
-            throw Core::Error(Core::ErrorKind::UpstreamUnreachable, "withdrawn before sending");
+            throw Core::Error(Core::ErrorKind::UpstreamUnreachable, "cancelled before sending");
     };
     if (auto pooled = options.use == ConnectionUse::PooledOrNew ? m_shared->take(key) : nullptr) {
         ensureMaySend();
--- a/Libraries/LibPeer/FrameStream.cpp
+++ b/Libraries/LibPeer/FrameStream.cpp
@@ -68,7 +68,7 @@
         length = length << 8 | byte;
     const auto tagBytes = m_keys ? TagBytes : 0;
     if (length < tagBytes || length > maxBytes + tagBytes)
-        throw invalidFrame("a frame of " + std::to_string(length) + " bytes");
+        throw invalidFrame("invalid frame size of " + std::to_string(length) + " bytes");
     std::string payload(length, '\0');
     co_await asio::async_read(m_socket, asio::buffer(payload), asio::use_awaitable);
     m_counters.bytesReceived += LengthBytes + length;
@@ -117,7 +117,7 @@
         co_await stream.write(handshake.proof());
     const auto proof = co_await stream.read(MaxHandshakeFrameBytes);
     if (!handshake.verifyProof(proof))
-        throw Core::Error(Core::ErrorKind::PeerRejected, "the proof is wrong");
+        throw Core::Error(Core::ErrorKind::PeerRejected, "the proof is invalid");
     if (role == Role::Server)
         co_await stream.write(handshake.proof());
     stream.setKeys(handshake.frameKeys());
@@ -150,7 +150,8 @@
         throw;
     } catch (const boost::system::system_error &error) {
         noteFailure(handshake, error.code().message(), counters);
-        throw Core::Error(Core::ErrorKind::PeerRejected, "the connection ended in the handshake");
+        throw Core::Error(Core::ErrorKind::PeerRejected,
+                          "the connection was closed during the handshake");
     }
 }
 
--- a/Libraries/LibPeer/Handshake.cpp
+++ b/Libraries/LibPeer/Handshake.cpp
@@ -72,17 +72,17 @@
 {
     const auto *table = verifiedTable<Wire::Hello>(payload);
     if (table == nullptr)
-        return Core::Error(Core::ErrorKind::FrameInvalid, "the hello does not verify");
+        return Core::Error(Core::ErrorKind::FrameInvalid, "the hello failed verification");
     Wire::HelloT hello;
     table->UnPackTo(&hello);
     if (hello.nonce.size() != NonceBytes || hello.instance.empty())
         return rejected("the hello lacks a nonce or an instance id");
     if (hello.environment != m_settings.environment)
-        return rejected("the peer is of another environment");
+        return rejected("the peer belongs to another environment");
     const auto version = std::min(hello.version, m_settings.versions.newest);
     if (version < std::max(hello.lowest_version, m_settings.versions.lowest)) {
         m_incompatible = true;
-        return rejected("the peer speaks no protocol version that this program reads");
+        return rejected("the peer supports no protocol version that this program supports");
     }
     const auto &self = m_settings.self;
     if (hello.instance == self.instance.value() && hello.incarnation == self.incarnation)
--- a/Libraries/LibPeer/PeerClient.cpp
+++ b/Libraries/LibPeer/PeerClient.cpp
@@ -102,7 +102,7 @@
         entry->link.reset();
     if (!entry->link) {
         if (steady_clock::now() < entry->retryAt)
-            throw unavailable("the sibling could not be reached a moment ago");
+            throw unavailable("a recent attempt to connect to the sibling failed");
         if (entry->connecting) {
             boost::system::error_code ec;
             co_await entry->settled.async_wait(asio::redirect_error(asio::use_awaitable, ec));
@@ -113,7 +113,8 @@
     if (!entry->link)
         throw unavailable("the sibling cannot be reached");
     if (address.incarnation && entry->link->peer().incarnation != *address.incarnation)
-        throw Core::Error(Core::ErrorKind::PeerRejected, "another process is at the address");
+        throw Core::Error(Core::ErrorKind::PeerRejected,
+                          "the process at the address has another incarnation");
     co_return entry->link;
 }
 
--- a/Libraries/LibPeer/PeerLink.cpp
+++ b/Libraries/LibPeer/PeerLink.cpp
@@ -185,7 +185,8 @@
 void PeerLink::receiveRequest(std::uint64_t id, Body body)
 {
     if (m_runningRequests >= m_settings.maxRunningRequests) {
-        const Core::Error busy(Core::ErrorKind::Overloaded, "too many requests of this peer run");
+        const Core::Error busy(Core::ErrorKind::Overloaded,
+                               "too many requests of this peer are running");
         enqueue(encodeMessage(Wire::Purpose::Response, id, makeRefusal(busy)));
         return;
     }
@@ -209,7 +210,8 @@
     auto reply = co_await handle(std::move(request));
     auto payload = encodeMessage(Wire::Purpose::Response, id, reply);
     if (payload.size() > m_settings.maxFrameBytes) {
-        const Core::Error large(Core::ErrorKind::BodyTooLarge, "the answer exceeds a frame");
+        const Core::Error large(Core::ErrorKind::BodyTooLarge,
+                                "the response exceeds the maximum frame size");
         payload = encodeMessage(Wire::Purpose::Response, id, makeRefusal(large));
     }
     --m_runningRequests;
@@ -220,7 +222,8 @@
 {
     if (!isKnown(request) || !m_handlers.onRequest) {
         ++m_counters.unknownMessages;
-        co_return makeRefusal(Core::Error(Core::ErrorKind::UnknownRoute, "an unknown request"));
+        co_return makeRefusal(
+            Core::Error(Core::ErrorKind::UnknownRoute, "unknown kind of request"));
     }
     try {
         co_return co_await m_handlers.onRequest(m_peer, std::move(request));
--- a/Libraries/LibPeer/PeerMessage.cpp
+++ b/Libraries/LibPeer/PeerMessage.cpp
@@ -36,7 +36,7 @@
     const auto *bytes = reinterpret_cast<const std::uint8_t *>(payload.data());
     flatbuffers::Verifier verifier(bytes, payload.size(), MaxDepth, MaxTables);
     if (!Wire::VerifyEnvelopeBuffer(verifier))
-        return Core::Error(Core::ErrorKind::FrameInvalid, "the buffer does not verify");
+        return Core::Error(Core::ErrorKind::FrameInvalid, "the message failed verification");
     Message message;
     Wire::GetEnvelope(bytes)->UnPackTo(&message);
     return message;
--- a/Tests/LibCore/TestErrorKind.cpp
+++ b/Tests/LibCore/TestErrorKind.cpp
@@ -24,7 +24,7 @@
     CHECK(failed.error().kind() == Core::ErrorKind::NotReady);
 }
 
-TEST_CASE("an error body names both fates")
+TEST_CASE("an error body contains the status of the attempt and of the key")
 {
     const Core::Error error(Core::ErrorKind::Draining, "", Core::ExecutionStatus::NotRun,
                             Core::ExecutionStatus::Unknown);
--- a/Tests/LibCore/TestHash.cpp
+++ b/Tests/LibCore/TestHash.cpp
@@ -15,7 +15,7 @@
     CHECK(Core::hmacSha256("k", "a") != Core::hmacSha256("k", "b"));
 }
 
-TEST_CASE("base64 brings back every length and refuses garbage")
+TEST_CASE("base64 round-trips every length and rejects malformed text")
 {
     std::string bytes;
     for (int n = 0; n < 300; ++n) {
--- a/Tests/LibCore/TestLogging.cpp
+++ b/Tests/LibCore/TestLogging.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("a reader that stands still neither blocks the writer nor makes it grow without bound")
+TEST_CASE("a stalled reader neither blocks the writer nor makes it grow without bound")
 {
     Pipe pipe;
     Core::LineWriter writer(pipe.ends[1], 100'000);
@@ -58,7 +58,7 @@
     CHECK(text.size() == (10'000 - refused) * (line.size() + 1) + 10);
 }
 
-TEST_CASE("a flood of lines is thinned, and warnings always pass")
+TEST_CASE("a flood of lines is rate-limited, and warnings always pass")
 {
     Core::ManualClock clock;
     clock.advance(1h);
--- a/Tests/LibCore/TestSnapshot.cpp
+++ b/Tests/LibCore/TestSnapshot.cpp
@@ -7,7 +7,7 @@
 #include <thread>
 #include <vector>
 
-TEST_CASE("readers of a snapshot see whole values, never going back")
+TEST_CASE("readers of a snapshot see consistent values and never an older one again")
 {
     constexpr int Replacements = 200;
     Core::Snapshot<std::pair<int, int>> snapshot(std::make_shared<std::pair<int, int>>(0, 0));
--- a/Tests/LibHttp/TestEndpoint.cpp
+++ b/Tests/LibHttp/TestEndpoint.cpp
@@ -12,7 +12,7 @@
         CHECK_FALSE(Http::parseEndpoint(text).has_value());
 }
 
-TEST_CASE("header names compare without case")
+TEST_CASE("header names are case-insensitive")
 {
     Http::Headers headers {{"Content-Type", "a"}};
     headers.add("content-type", "b");
--- a/Tests/LibHttp/TestEventSplitter.cpp
+++ b/Tests/LibHttp/TestEventSplitter.cpp
@@ -2,7 +2,7 @@
 
 #include <catch2/catch.hpp>
 
-TEST_CASE("events are passed on whole and in order, whatever the pieces they come in")
+TEST_CASE("events are passed on complete and in order however the bytes are split")
 {
     const std::string stream = "id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\ndata: no id\n\n";
     for (std::size_t step = 1; step <= stream.size(); ++step) {
@@ -19,7 +19,7 @@
     }
 }
 
-TEST_CASE("an unfinished event is known, its id does not count, and it can be dropped")
+TEST_CASE("an incomplete event is detected, its id is ignored, and it can be dropped")
 {
     Http::EventSplitter splitter;
     CHECK(splitter.feed("id: 7\ndata: a\n\nid: 8\ndata:") == "id: 7\ndata: a\n\n");
@@ -30,7 +30,7 @@
     CHECK(splitter.lastId() == "8");
 }
 
-TEST_CASE("events that end with carriage returns are whole too")
+TEST_CASE("events that end with CRLF are complete too")
 {
     Http::EventSplitter splitter;
     CHECK(splitter.feed("id:3\r\ndata: a\r\n\r\nid: 4\r\n") == "id:3\r\ndata: a\r\n\r\n");
--- a/Tests/LibHttp/TestEventStreamParser.cpp
+++ b/Tests/LibHttp/TestEventStreamParser.cpp
@@ -5,7 +5,7 @@
 
 #include <random>
 
-TEST_CASE("events come out whole whatever the pieces they arrive in")
+TEST_CASE("events are parsed completely however the bytes are split")
 {
     const std::string text = ": comment\n\ndata: one\n\nevent: error\r\ndata: two\r\n\r\n"
                              "data: a\ndata: b\n\n";
@@ -29,7 +29,7 @@
     }
 }
 
-TEST_CASE("an event without end is refused")
+TEST_CASE("an event above the size limit is rejected")
 {
     Http::EventStreamParser parser;
     CHECK_THROWS_AS(parser.feed(std::string(Http::EventStreamParser::EventLimitBytes + 1, 'x')),
--- a/Tests/LibHttp/TestServer.cpp
+++ b/Tests/LibHttp/TestServer.cpp
@@ -69,7 +69,7 @@
 
 } // namespace
 
-TEST_CASE("whole and streamed answers arrive complete over kept connections")
+TEST_CASE("whole and streamed answers arrive complete over pooled connections")
 {
     Fixture fixture;
     for (int n = 0; n < 20; ++n) {
@@ -85,7 +85,7 @@
     CHECK(refused.body.find("unknown_route") != std::string::npos);
 }
 
-TEST_CASE("bad requests get an error of the closed list and the connection is closed")
+TEST_CASE("invalid requests get an error response and the connection is closed")
 {
     Http::ServerLimits limits;
     limits.headerBytes = 1024;
@@ -106,7 +106,7 @@
         != std::string::npos);
 }
 
-TEST_CASE("a caller that closes early is noticed while the handler waits")
+TEST_CASE("a caller that closes early is detected while the handler waits")
 {
     std::promise<void> gone;
     Fixture fixture([&gone](Http::ServerExchange &exchange) -> asio::awaitable<void> {
@@ -125,7 +125,7 @@
     CHECK(gone.get_future().wait_for(30s) == std::future_status::ready);
 }
 
-TEST_CASE("a caller that closes after the time for its request is noticed all the same")
+TEST_CASE("a caller that closes after the request timeout is detected too")
 {
     std::promise<void> gone;
     Http::ServerLimits limits;
@@ -149,7 +149,7 @@
     CHECK(gone.get_future().wait_for(10s) == std::future_status::ready);
 }
 
-TEST_CASE("a call that was ended does not close the connection that a later call uses")
+TEST_CASE("aborting a finished call does not close the connection of a later call")
 {
     Fixture fixture;
     auto run = [&](asio::awaitable<void> work) {
@@ -171,7 +171,7 @@
     }(fixture));
 }
 
-TEST_CASE("bytes beyond an answer belong to no later request")
+TEST_CASE("bytes after the end of an answer are not taken for a later answer")
 {
     asio::io_context context;
     asio::ip::tcp::acceptor acceptor(context, Http::parseEndpoint("127.0.0.1:0").value());
--- a/Tests/LibPeer/TestHandshake.cpp
+++ b/Tests/LibPeer/TestHandshake.cpp
@@ -22,7 +22,7 @@
     CHECK(client.frameKeys().sending != client.frameKeys().receiving);
 }
 
-TEST_CASE("a proof that is sent back, replayed or made with another key is refused")
+TEST_CASE("a proof that is reflected, replayed or made with another key is refused")
 {
     const auto settings = peerSettings("a");
     auto otherSettings = peerSettings("bb");
--- a/Tests/LibPeer/TestPeerLink.cpp
+++ b/Tests/LibPeer/TestPeerLink.cpp
@@ -86,7 +86,7 @@
     CHECK(pair.clientCounters.connected == 1);
 }
 
-TEST_CASE("strangers and garbled handshakes are dropped and counted, and siblings still served")
+TEST_CASE("malformed handshakes are dropped and counted, and siblings are still served")
 {
     PeerPair pair;
     sendRawBytes(pair.server->endpoint(), "GET / HTTP/1.1\r\n\r\n");
@@ -138,7 +138,7 @@
     CHECK(pair.clientCounters.connected == 2);
 }
 
-TEST_CASE("another process at the address is not sent anything meant for the former one")
+TEST_CASE("a process with another incarnation at the address receives no request")
 {
     PeerPair pair;
     CHECK(pair.requestKey("key") == "key");
@@ -165,7 +165,7 @@
     CHECK(pair.requestFailureKind() == Core::ErrorKind::PeerUnavailable);
 }
 
-TEST_CASE("a frame that is changed on the way ends the link and is counted")
+TEST_CASE("a frame that is modified in transit is rejected")
 {
     PeerThreads threads;
     Peer::PeerCounters counters;
--- a/Tests/LibPeer/TestPeerMessage.cpp
+++ b/Tests/LibPeer/TestPeerMessage.cpp
@@ -32,7 +32,7 @@
     CHECK(message.body.AsClaimQuery()->key == "order-7");
 }
 
-TEST_CASE("a body kind that a newer peer added is known to be unknown")
+TEST_CASE("a body kind that a newer peer added is reported as unknown")
 {
     flatbuffers::FlatBufferBuilder builder;
     const auto later = Next::CreateLaterDirect(builder, "text");
