--- a/Libraries/LibHttp/Client.h
+++ b/Libraries/LibHttp/Client.h
@@ -81,7 +81,7 @@
     boost::asio::awaitable<std::unique_ptr<ClientExchange>>
     open(Endpoint endpoint, Request request, ClientTimeouts timeouts, SendOptions options);
 
-    /// Reads the whole response. Throws UpstreamAnswerMalformed for a body above the limit.
+    /// Sends the request and reads the whole response; UpstreamAnswerMalformed above the limit.
     boost::asio::awaitable<Response> fetch(Endpoint endpoint, Request request,
                                            ClientTimeouts timeouts,
                                            std::size_t bodyLimit = DefaultBodyLimit,
