--- a/Tests/LibPeer/TestPeerMessage.cpp
+++ b/Tests/LibPeer/TestPeerMessage.cpp
@@ -55,7 +55,7 @@
     CHECK(next->body_as_ClaimQuery()->key()->str() == "order-7");
 }
 
-TEST_CASE("the decoder survives garbled frames: each decodes or is refused")
+TEST_CASE("corrupted frames are either decoded or rejected")
 {
     std::mt19937_64 rng(11);
     Peer::Wire::ProbeT probe;
