--- a/Libraries/LibHttp/Client.cpp
+++ b/Libraries/LibHttp/Client.cpp
@@ -26,9 +26,9 @@
 
 constexpr std::size_t ReadBytes = 16 * 1024;
 constexpr std::size_t HeaderLimitBytes = 64 * 1024;
-constexpr std::size_t KeptConnectionsPerEndpoint = 64;
+constexpr std::size_t MaxIdleConnectionsPerEndpoint = 64;
 
-/// A connection and what was read from it beyond the last answer.
+/// A connection and its read buffer.
 struct Connection
 {
     explicit Connection(const asio::any_io_executor &executor)
@@ -37,7 +37,7 @@
 
     beast::tcp_stream stream;
     beast::flat_buffer buf;
-    /// Counts the calls that it served, so that an old call's abort cannot close a later one's.
+    /// Number of completed calls, so that aborting an old call cannot close a later one.
     std::uint64_t call = 0;
     /// When the server may close the connection for being idle.
     std::chrono::steady_clock::time_point idleUntil = std::chrono::steady_clock::time_point::max();
@@ -45,10 +45,10 @@
 
 using ConnectionPtr = std::shared_ptr<Connection>;
 
-// A connection is not used this close to the end of the server's idle time.
+// An idle connection is not reused within this time before the server may close it.
 constexpr std::chrono::milliseconds IdleMargin {1'000};
 
-/// Whether an idle connection is still open and holds no bytes that belong to no request.
+/// Returns whether an idle connection is still open and no unexpected bytes have arrived on it.
 bool isUsable(Connection &connection)
 {
     if (std::chrono::steady_clock::now() >= connection.idleUntil)
@@ -59,7 +59,7 @@
     return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-/// The idle time that a server announced in a Keep-Alive field, if it did.
+/// Returns the idle timeout of a Keep-Alive header field, if it has one.
 std::optional<std::chrono::seconds> announcedIdleTime(std::string_view field)
 {
     constexpr std::string_view Name = "timeout=";
@@ -74,14 +74,14 @@
     return std::chrono::seconds(seconds);
 }
 
-Core::Error sentError(const boost::system::error_code &ec)
+Core::Error errorAfterSend(const boost::system::error_code &ec)
 {
     if (ec == beast::error::timeout)
         return Core::Error(Core::ErrorKind::UpstreamTimedOut);
     if (ec.category() == make_error_code(http::error::bad_chunk).category()
         && ec != http::error::end_of_stream && ec != http::error::partial_message)
         return Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, ec.message());
-    // The system gave up on bytes that were not acknowledged (SendOptions::unacknowledged).
+    // The TCP user timeout expired with unacknowledged bytes (SendOptions::unacknowledged).
     if (ec == asio::error::timed_out)
         return Core::Error(Core::ErrorKind::UpstreamTimedOut, ec.message());
     return Core::Error(Core::ErrorKind::UpstreamFailed, ec.message());
@@ -104,8 +104,8 @@
 
 } // namespace
 
-/// Idle connections. A connection is bound to the thread that opened it, so the executor is part
-/// of the key.
+/// The pool of idle connections. A connection is bound to the thread that opened it, so the
+/// execution context is part of the key.
 struct Client::Shared
 {
     struct Key
@@ -127,22 +127,22 @@
     ConnectionPtr take(const Key &key)
     {
         std::scoped_lock lock(mutex);
-        auto &kept = idle[key];
-        while (!kept.empty()) {
-            auto connection = std::move(kept.back());
-            kept.pop_back();
+        auto &pooled = idle[key];
+        while (!pooled.empty()) {
+            auto connection = std::move(pooled.back());
+            pooled.pop_back();
             if (isUsable(*connection))
                 return connection;
         }
         return nullptr;
     }
 
-    void keep(const Key &key, ConnectionPtr connection)
+    void put(const Key &key, ConnectionPtr connection)
     {
         std::scoped_lock lock(mutex);
-        auto &kept = idle[key];
-        if (kept.size() < KeptConnectionsPerEndpoint)
-            kept.push_back(std::move(connection));
+        auto &pooled = idle[key];
+        if (pooled.size() < MaxIdleConnectionsPerEndpoint)
+            pooled.push_back(std::move(connection));
     }
 
     std::mutex mutex;
@@ -168,8 +168,8 @@
     unsigned status() const override { return m_parser.get().result_int(); }
     const Headers &headers() const override { return m_headers; }
 
-    asio::awaitable<boost::system::error_code> exchangeHeads(const Endpoint &endpoint,
-                                                             Request request)
+    asio::awaitable<boost::system::error_code> sendAndReadHeaders(const Endpoint &endpoint,
+                                                                  Request request)
     {
         auto message = toBeast(endpoint, std::move(request));
         auto &stream = m_connection->stream;
@@ -189,20 +189,20 @@
 
     asio::awaitable<std::optional<std::string>> readSome() override
     {
-        std::array<char, ReadBytes> piece;
+        std::array<char, ReadBytes> chunk;
         while (!m_parser.is_done()) {
             auto &body = m_parser.get().body();
-            body.data = piece.data();
-            body.size = piece.size();
+            body.data = chunk.data();
+            body.size = chunk.size();
             m_connection->stream.expires_after(m_timeouts.body);
             boost::system::error_code ec;
             co_await http::async_read_some(m_connection->stream, m_connection->buf, m_parser,
                                            asio::redirect_error(asio::use_awaitable, ec));
             if (ec && ec != http::error::need_buffer)
-                throw sentError(ec);
-            const auto n = piece.size() - body.size;
+                throw errorAfterSend(ec);
+            const auto n = chunk.size() - body.size;
             if (n > 0)
-                co_return std::string(piece.data(), n);
+                co_return std::string(chunk.data(), n);
         }
         release();
         co_return std::nullopt;
@@ -217,10 +217,10 @@
     }
 
 private:
-    /// Returns the connection to the idle ones after a whole answer.
+    /// Returns the connection to the pool after a complete response.
     void release()
     {
-        // Bytes beyond the answer belong to no request.
+        // Do not reuse a connection with bytes after the end of the response.
         if (!m_connection || !m_parser.keep_alive() || m_connection->buf.size() > 0)
             return;
         if (const auto idle = announcedIdleTime(m_parser.get()[http::field::keep_alive]))
@@ -228,7 +228,7 @@
         m_connection->stream.expires_never();
         ++m_connection->call;
         if (const auto shared = m_shared.lock())
-            shared->keep(m_key, std::move(m_connection));
+            shared->put(m_key, std::move(m_connection));
     }
 
     std::weak_ptr<Client::Shared> m_shared;
@@ -239,7 +239,7 @@
     Headers m_headers;
 };
 
-/// Lets the call be ended through its connection, as long as that lives.
+/// Lets options.abort close the connection while it still serves this call.
 void bindAbort(const SendOptions &options, const ConnectionPtr &connection)
 {
     if (!options.abort)
@@ -310,26 +310,27 @@
     const auto ensureMaySend = [&options] {
         if ((options.abort && options.abort->isAborted())
             || (options.maySend && !options.maySend()))
-            throw Core::Error(Core::ErrorKind::UpstreamUnreachable, "withdrawn before sending");
+            throw Core::Error(Core::ErrorKind::UpstreamUnreachable, "cancelled before sending");
     };
-    if (auto kept = options.use == ConnectionUse::PooledOrNew ? m_shared->take(key) : nullptr) {
+    if (auto pooled = options.use == ConnectionUse::PooledOrNew ? m_shared->take(key) : nullptr) {
         ensureMaySend();
-        bindAbort(options, kept);
-        auto exchange = std::make_unique<PooledExchange>(m_shared, key, std::move(kept), timeouts);
-        const auto ec = co_await exchange->exchangeHeads(endpoint, request);
+        bindAbort(options, pooled);
+        auto exchange =
+            std::make_unique<PooledExchange>(m_shared, key, std::move(pooled), timeouts);
+        const auto ec = co_await exchange->sendAndReadHeaders(endpoint, request);
         if (!ec)
             co_return exchange;
         const bool isAborted = options.abort && options.abort->isAborted();
         if (ec == beast::error::timeout || !options.mayRepeat || isAborted)
-            throw sentError(ec);
-        // The server had closed the kept connection; this request may be repeated on a new one.
+            throw errorAfterSend(ec);
+        // The idle connection failed, and the request may be repeated on a new one.
     }
     auto connection = co_await connect(executor, endpoint, timeouts.connect, options);
     ensureMaySend();
     auto exchange =
         std::make_unique<PooledExchange>(m_shared, key, std::move(connection), timeouts);
-    if (const auto ec = co_await exchange->exchangeHeads(endpoint, std::move(request)); ec)
-        throw sentError(ec);
+    if (const auto ec = co_await exchange->sendAndReadHeaders(endpoint, std::move(request)); ec)
+        throw errorAfterSend(ec);
     co_return exchange;
 }
 
@@ -340,8 +341,8 @@
     Response response;
     response.status = exchange->status();
     response.headers = exchange->headers();
-    while (auto piece = co_await exchange->readSome()) {
-        response.body += *piece;
+    while (auto chunk = co_await exchange->readSome()) {
+        response.body += *chunk;
         if (response.body.size() > bodyLimit)
             throw Core::Error(Core::ErrorKind::UpstreamAnswerMalformed, "the answer is too large");
     }
