--- a/Libraries/LibConfiguration/CrossReferences.cpp
+++ b/Libraries/LibConfiguration/CrossReferences.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// Reports each value whose key an earlier one has.
+/// Reports each value with the same key as an earlier value.
 template <typename Value, typename Key>
 void checkUnique(const LocatedList<Value> &list, std::string_view field, Key key)
 {
     std::unordered_set<std::decay_t<decltype(key(list.values.front()))>> seen;
     for (std::size_t n = 0; n < list.values.size(); ++n) {
         if (!seen.insert(key(list.values[n])).second)
-            list.sources[n].addFault(field, "stands twice");
+            list.sources[n].addFault(field, "is a duplicate");
     }
 }
 
@@ -40,8 +40,9 @@
         checkNames();
         checkKeyHashes();
         checkFloors();
-        checkServedGroups(m_contents.models, UpstreamKind::Engine, "must name an engine group");
-        checkServedGroups(m_contents.services, UpstreamKind::Service, "must name a service group");
+        checkGroupReferences(m_contents.models, UpstreamKind::Engine, "must name an engine group");
+        checkGroupReferences(m_contents.services, UpstreamKind::Service,
+                             "must name a service group");
         checkContracts();
         checkOwnedShares();
     }
@@ -67,7 +68,7 @@
         for (std::size_t n = 0; n < m_contents.teams.values.size(); ++n) {
             for (const auto &hash : m_contents.teams.values[n].keyHashes) {
                 if (!seen.insert(hash).second)
-                    m_contents.teams.sources[n].addFault("key_hashes", "holds a hash twice");
+                    m_contents.teams.sources[n].addFault("key_hashes", "contains a duplicate hash");
             }
         }
     }
@@ -79,22 +80,25 @@
         for (std::size_t n = 0; n < classes.values.size(); ++n) {
             sum += classes.values[n].floorShare.millionths();
             if (sum > Share::Whole) {
-                classes.sources[n].addFault("floor_share", "brings the sum of floors above 1");
+                classes.sources[n].addFault("floor_share",
+                                            "raises the sum of floor shares above 1");
                 return;
             }
         }
     }
 
     template <typename Value>
-    void checkServedGroups(const LocatedList<Value> &list, UpstreamKind kind, const char *message)
+    void checkGroupReferences(const LocatedList<Value> &list, UpstreamKind kind,
+                              const char *message)
     {
         for (std::size_t n = 0; n < list.values.size(); ++n) {
             const auto &group = list.values[n].upstreamGroup;
             const auto found = m_groups.find(group);
             if (found == m_groups.end() || found->second != kind)
                 list.sources[n].addFault("upstream_group", message);
-            else if (!m_served.insert(group).second)
-                list.sources[n].addFault("upstream_group", "already serves another");
+            else if (!m_referencedGroups.insert(group).second)
+                list.sources[n].addFault("upstream_group",
+                                         "is already used by another model or service");
         }
     }
 
@@ -127,7 +131,7 @@
             sum += contracts.values[n].ownedShare.millionths();
             if (wasWithin && sum > Share::Whole)
                 contracts.sources[n].addFault("owned_share",
-                                              "brings the sum of the group's shares above 1");
+                                              "raises the sum of the group's owned shares above 1");
         }
     }
 
@@ -135,7 +139,7 @@
     std::unordered_map<Core::UpstreamGroupId, UpstreamKind> m_groups;
     std::unordered_set<Core::PriorityClassId> m_classes;
     std::unordered_set<Core::TeamId> m_teams;
-    std::unordered_set<Core::UpstreamGroupId> m_served;
+    std::unordered_set<Core::UpstreamGroupId> m_referencedGroups;
 };
 
 } // namespace
--- a/Libraries/LibPeer/PeerClient.cpp
+++ b/Libraries/LibPeer/PeerClient.cpp
@@ -67,7 +67,7 @@
         const auto peerLink = co_await linkOnStrand(address);
         peerLink->send(std::move(body));
     } catch (const Core::Error &) {
-        // One-way messages promise no delivery.
+        // The delivery of one-way messages is not guaranteed.
     }
 }
 
@@ -102,7 +102,7 @@
         entry->link.reset();
     if (!entry->link) {
         if (steady_clock::now() < entry->retryAt)
-            throw unavailable("the sibling could not be reached a moment ago");
+            throw unavailable("a recent attempt to connect to the sibling failed");
         if (entry->connecting) {
             boost::system::error_code ec;
             co_await entry->settled.async_wait(asio::redirect_error(asio::use_awaitable, ec));
@@ -113,7 +113,8 @@
     if (!entry->link)
         throw unavailable("the sibling cannot be reached");
     if (address.incarnation && entry->link->peer().incarnation != *address.incarnation)
-        throw Core::Error(Core::ErrorKind::PeerRejected, "another process is at the address");
+        throw Core::Error(Core::ErrorKind::PeerRejected,
+                          "the process at the address has another incarnation");
     co_return entry->link;
 }
 
@@ -135,7 +136,7 @@
 
 void PeerClient::noteFailure(Entry &entry) const
 {
-    entry.pause = std::clamp(entry.pause * 2, m_settings.retryPause, m_settings.longestRetryPause);
+    entry.pause = std::clamp(entry.pause * 2, m_settings.retryPause, m_settings.maxRetryPause);
     entry.retryAt = steady_clock::now() + entry.pause;
 }
 
@@ -161,13 +162,13 @@
         co_await stream->socket().async_connect(endpoint, asio::use_awaitable);
     }
     stream->socket().set_option(tcp::no_delay(true));
-    co_return co_await introduce(stream, m_settings, Role::Client, m_counters);
+    co_return co_await performHandshake(stream, m_settings, Role::Client, m_counters);
 }
 
 void PeerClient::dropLeastRecentlyUsed()
 {
-    // Long enough that a sibling's growing retry pause is not forgotten too early.
-    const auto horizon = steady_clock::now() - 2 * m_settings.longestRetryPause;
+    // Long enough to keep a sibling's retry back-off until it has expired.
+    const auto horizon = steady_clock::now() - 2 * m_settings.maxRetryPause;
     std::erase_if(m_entries, [horizon](const auto &item) {
         const auto &entry = *item.second;
         const bool open = entry.link && entry.link->isOpen();
--- a/Libraries/LibPeer/PeerMessage.cpp
+++ b/Libraries/LibPeer/PeerMessage.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// A message nests no deeper than envelope, body, list element; the rest is slack for newer peers.
+// A message nests envelope, body and list element; the rest is headroom for newer peers.
 constexpr unsigned MaxDepth = 16;
 constexpr unsigned MaxTables = 100'000;
 
@@ -36,7 +36,7 @@
     const auto *bytes = reinterpret_cast<const std::uint8_t *>(payload.data());
     flatbuffers::Verifier verifier(bytes, payload.size(), MaxDepth, MaxTables);
     if (!Wire::VerifyEnvelopeBuffer(verifier))
-        return Core::Error(Core::ErrorKind::FrameInvalid, "the buffer does not verify");
+        return Core::Error(Core::ErrorKind::FrameInvalid, "the message failed verification");
     Message message;
     Wire::GetEnvelope(bytes)->UnPackTo(&message);
     return message;
--- a/Tests/LibConfiguration/TestConfigurationHistory.cpp
+++ b/Tests/LibConfiguration/TestConfigurationHistory.cpp
@@ -33,8 +33,8 @@
     std::vector<Verdict> read(ConfigurationHistory &reader)
     {
         std::vector<Verdict> verdicts;
-        while (reader.wanted() < log.read(Stream, 0, 0).next) {
-            for (const auto &it : reader.take(log.read(Stream, reader.wanted(), 3)))
+        while (reader.nextOffset() < log.read(Stream, 0, 0).next) {
+            for (const auto &it : reader.processPage(log.read(Stream, reader.nextOffset(), 3)))
                 verdicts.push_back(it.verdict);
             if (reader.isHalted())
                 break;
@@ -64,7 +64,7 @@
     CHECK(fixture.history.current()->publisher == "operator-b");
 }
 
-TEST_CASE("a publication counts once however often it was appended")
+TEST_CASE("a publication that is appended several times takes effect once")
 {
     Fixture fixture;
     fixture.publish(0, sampleDocument(1), "a");
@@ -99,7 +99,7 @@
     CHECK_FALSE(publication.change.apply("short"));
 }
 
-TEST_CASE("a reader that starts after retention has passed takes the state of a renewal")
+TEST_CASE("a reader that starts after records have expired restores the state of a renewal")
 {
     Fixture fixture;
     fixture.publish(0, sampleDocument(1), "a");
@@ -116,7 +116,7 @@
     CHECK(late.current()->digest == fixture.history.current()->digest);
 }
 
-TEST_CASE("a renewal by a paused instance does not bring an old state back")
+TEST_CASE("a renewal by a paused instance does not restore an old state")
 {
     Fixture fixture;
     fixture.publish(0, sampleDocument(1), "a");
@@ -127,7 +127,8 @@
     fixture.clock.advance(9s);
     fixture.append(stale);
     fixture.clock.advance(2s);
-    // The publication of generation 2 is gone; only the renewal of generation 1 is left.
+    // Retention has dropped the publication of generation 2; only the renewal of generation 1
+    // remains.
     ConfigurationHistory late(Environment);
     CHECK(fixture.read(late) == Verdicts {Verdict::Skipped});
     CHECK_FALSE(late.isAnchored());
@@ -159,7 +160,8 @@
     CHECK(lagging.current()->generation == 3);
 }
 
-TEST_CASE("a copy of an older or another generation does not replace what is in force")
+TEST_CASE(
+    "a copy of an older generation or of a different document does not replace the active one")
 {
     Fixture fixture;
     fixture.publish(0, sampleDocument(1), "a");
@@ -169,7 +171,7 @@
     fixture.read();
     auto other = older;
     other.generation = 2;
-    // A record that is dropped unread makes the gap.
+    // Retention drops an unread record, which causes a gap.
     fixture.log.append(Stream, "garbage");
     fixture.clock.advance(11s);
     older.foldedTo = other.foldedTo = 3;
@@ -179,14 +181,14 @@
     CHECK(fixture.history.current()->bytes == sampleDocument(2));
 }
 
-TEST_CASE("a document of a newer format stops the fold instead of being refused")
+TEST_CASE("a document of a newer format stops processing instead of being rejected")
 {
     Fixture fixture;
     fixture.publish(0, "format = 2\nwhat = 'comes next'\n", "a");
     fixture.publish(0, sampleDocument(1), "b");
     CHECK(fixture.read() == Verdicts {Verdict::Undecidable});
     CHECK(fixture.history.isHalted());
-    CHECK(fixture.history.wanted() == 0);
+    CHECK(fixture.history.nextOffset() == 0);
     CHECK(fixture.history.current()->generation == 0);
 }
 
--- a/Tests/LibConfiguration/TestPublisher.cpp
+++ b/Tests/LibConfiguration/TestPublisher.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr const char *Environment = "trial";
-constexpr Publisher::Options Options {.patience = 200ms, .firstRetry = 0ms, .longestRetry = 0ms};
+constexpr Publisher::Options Options {.timeout = 200ms, .firstRetry = 0ms, .maxRetryDelay = 0ms};
 
 struct Fixture
 {
@@ -41,7 +41,7 @@
     {
         return await(publisher.publish({.environment = Environment, .bytes = bytes}));
     }
-    /// The digests that the log has accepted, in order.
+    /// Returns the digests of the accepted documents, in order.
     std::vector<std::string> accepted()
     {
         std::vector<std::string> digests;
@@ -66,24 +66,24 @@
 TEST_CASE("a publication whose answers are always lost is found by reading back")
 {
     Fixture fixture;
-    fixture.service.lostAnswers = 100;
+    fixture.service.lostAnswerPercent = 100;
     const auto outcome = fixture.publish(sampleDocument(1));
     CHECK(outcome.result == PublishResult::Accepted);
     CHECK(outcome.generation == 1);
     CHECK(fixture.publish(sampleDocument(2)).generation == 2);
 }
 
-TEST_CASE("an append that takes effect after the operator gave up is not called refused")
+TEST_CASE("an append that takes effect after the timeout is not reported as rejected")
 {
     Fixture fixture;
-    fixture.service.lateAppends = 100;
+    fixture.service.delayedAppendPercent = 100;
     const auto outcome = fixture.publish(sampleDocument(1));
     CHECK(outcome.result == PublishResult::Unknown);
-    fixture.service.releaseLate();
+    fixture.service.releaseDelayedAppends();
     CHECK(fixture.accepted().size() == 1);
 }
 
-TEST_CASE("nothing is appended for a document with faults or a generation that has passed")
+TEST_CASE("nothing is appended for a document with faults or an outdated generation")
 {
     Fixture fixture;
     fixture.publish(sampleDocument(1));
@@ -98,7 +98,7 @@
     CHECK(fixture.log.read("configuration.trial", 0, 9).next == 1);
 }
 
-TEST_CASE("a stream that leads to no document any more is started over once")
+TEST_CASE("a stream that no longer determines a document is restarted once")
 {
     Fixture fixture;
     const PublishRequest request {.environment = Environment, .bytes = sampleDocument(2)};
@@ -106,7 +106,7 @@
     CHECK_THROWS_AS(fixture.await(fixture.publisher.restart(request, 9)), Core::Error);
     fixture.clock.advance(2h);
     CHECK_THROWS_AS(fixture.publish(sampleDocument(2)), Core::Error);
-    fixture.service.lostAnswers = 100;
+    fixture.service.lostAnswerPercent = 100;
     const auto outcome = fixture.await(fixture.publisher.restart(request, 9));
     CHECK(outcome.result == PublishResult::Accepted);
     CHECK(outcome.generation == 9);
@@ -114,7 +114,7 @@
     CHECK(fixture.publish(sampleDocument(3)).generation == 10);
 }
 
-TEST_CASE("of two racing restarts one wins, for every reader")
+TEST_CASE("one of two concurrent restarts wins for every reader")
 {
     std::size_t lost = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
@@ -130,7 +130,7 @@
                     {.environment = Environment, .bytes = sampleDocument(static_cast<unsigned>(n))},
                     9),
                 [&outcomes, n](const std::exception_ptr &error, const PublishOutcome &outcome) {
-                    // The later one may find the stream started over already.
+                    // The second call may find that the stream has already been restarted.
                     outcomes[n] =
                         error ? PublishOutcome {.result = PublishResult::LostRace} : outcome;
                 });
@@ -149,10 +149,10 @@
     CHECK(lost > 0);
 }
 
-TEST_CASE("an outage ends as unavailable before anything was appended")
+TEST_CASE("an outage before the append is reported as unavailable")
 {
     Fixture fixture;
-    fixture.service.isOut = true;
+    fixture.service.isUnavailable = true;
     try {
         fixture.publish(sampleDocument(1));
         FAIL("published");
@@ -161,7 +161,8 @@
     }
 }
 
-TEST_CASE("racing operators get one winner a generation and true answers, over seeded races")
+TEST_CASE(
+    "concurrent operators get one winner per generation and correct outcomes, over seeded races")
 {
     constexpr std::size_t Operators = 4;
     std::size_t lost = 0;
@@ -169,8 +170,8 @@
     for (std::uint64_t seed = 1; seed <= 150; ++seed) {
         INFO("seed " << seed);
         Fixture fixture(seed);
-        fixture.service.lostAnswers = seed % 3 * 30;
-        fixture.service.lateAppends = seed % 6 * 20;
+        fixture.service.lostAnswerPercent = seed % 3 * 30;
+        fixture.service.delayedAppendPercent = seed % 6 * 20;
         std::vector<PublishOutcome> outcomes(Operators);
         for (std::size_t n = 0; n < Operators; ++n)
             boost::asio::co_spawn(
@@ -182,8 +183,8 @@
                     outcomes[n] = outcome;
                 });
         fixture.context.run();
-        fixture.service.lostAnswers = fixture.service.lateAppends = 0;
-        fixture.service.releaseLate();
+        fixture.service.lostAnswerPercent = fixture.service.delayedAppendPercent = 0;
+        fixture.service.releaseDelayedAppends();
         const auto accepted = fixture.accepted();
         for (std::size_t n = 0; n < Operators; ++n) {
             const auto digest = Core::sha256Hex(sampleDocument(static_cast<unsigned>(n)));
--- a/Tests/LibCore/TestLogging.cpp
+++ b/Tests/LibCore/TestLogging.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A pipe whose reader stands still until it is told to read.
+/// A pipe that is only read by readAll().
 struct Pipe
 {
     Pipe() { REQUIRE(::pipe(ends.data()) == 0); }
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("a reader that stands still neither blocks the writer nor makes it grow without bound")
+TEST_CASE("a stalled reader neither blocks the writer nor makes it grow without bound")
 {
     Pipe pipe;
     Core::LineWriter writer(pipe.ends[1], 100'000);
@@ -46,8 +46,8 @@
         refused += writer.write(line, false) ? 0 : 1;
     CHECK(refused > 0);
     CHECK(writer.pendingBytes() <= 100'000);
-    CHECK(writer.takeLeftOut() == refused);
-    // Lines of failures still find room.
+    CHECK(writer.takeDroppedCount() == refused);
+    // Important lines still fit into the reserved capacity.
     CHECK(writer.write("a failure", true));
     auto text = pipe.readAll();
     while (writer.pendingBytes() > 0) {
@@ -58,18 +58,18 @@
     CHECK(text.size() == (10'000 - refused) * (line.size() + 1) + 10);
 }
 
-TEST_CASE("a flood of lines is thinned, and warnings always pass")
+TEST_CASE("a flood of lines is rate-limited, and warnings always pass")
 {
     Core::ManualClock clock;
     clock.advance(1h);
-    Core::LogRateLimiter allowance;
+    Core::LogRateLimiter limiter;
     unsigned passed = 0;
     for (int n = 0; n < 20'000; ++n) {
         clock.advance(1ms);
-        passed += allowance.admit(Core::EventLevel::Info, clock.now()) ? 1 : 0;
-        REQUIRE(allowance.admit(Core::EventLevel::Warning, clock.now()));
+        passed += limiter.admit(Core::EventLevel::Info, clock.now()) ? 1 : 0;
+        REQUIRE(limiter.admit(Core::EventLevel::Warning, clock.now()));
     }
     CHECK(passed <= 400 + 20 * 200);
     CHECK(passed >= 20 * 200);
-    CHECK(allowance.takeLeftOut() == 20'000 - passed);
+    CHECK(limiter.takeDroppedCount() == 20'000 - passed);
 }
