--- a/Libraries/LibConfiguration/ConfigurationHistory.cpp
+++ b/Libraries/LibConfiguration/ConfigurationHistory.cpp
@@ -113,13 +113,13 @@
     entry.verdict = Verdict::LostRace;
     if (publication.replaces != m_current->generation) {
         entry.detail = "replaces generation " + std::to_string(publication.replaces) + ", but "
-                       + std::to_string(m_current->generation) + " is in force";
+                       + std::to_string(m_current->generation) + " is active";
         return;
     }
     entry.verdict = Verdict::Invalid;
     auto bytes = publication.change.apply(m_current->bytes);
     if (!bytes || Core::sha256Hex(*bytes) != publication.digest) {
-        entry.detail = "the document does not have the stated digest";
+        entry.detail = "the document does not match its digest";
         return;
     }
     auto report = Document::check(*bytes);
@@ -149,7 +149,7 @@
     const bool isCopy =
         renewal.generation == m_current->generation && renewal.digest == m_current->digest;
     if (!isCopy || renewal.foldedTo <= m_copyFoldedTo || renewal.foldedTo > record.offset) {
-        entry.detail = "not a newer copy of what is in force";
+        entry.detail = "not a newer copy of the active document";
         return;
     }
     m_copyFoldedTo = renewal.foldedTo;
@@ -166,17 +166,17 @@
     // renewal is usable only if the log still has all records since its state, so that they can be
     // replayed.
     if (renewal.foldedTo < first || renewal.foldedTo > record.offset) {
-        entry.detail = "records between the copy and the first one kept are gone";
+        entry.detail = "the log no longer has all records after the copy";
         return;
     }
     const bool isSame = renewal.generation == m_current->generation;
     if (renewal.generation < m_current->generation
         || (isSame && renewal.digest != m_current->digest)) {
-        entry.detail = "a copy of an older or another generation";
+        entry.detail = "a copy of an older generation or of a different document";
         return;
     }
     if (Core::sha256Hex(renewal.document) != renewal.digest) {
-        entry.detail = "the copy does not have the stated digest";
+        entry.detail = "the copy does not match its digest";
         return;
     }
     auto report = Document::check(renewal.document);
--- a/Libraries/LibConfiguration/ConfigurationRecord.cpp
+++ b/Libraries/LibConfiguration/ConfigurationRecord.cpp
@@ -110,7 +110,7 @@
     const auto *data = reinterpret_cast<const std::uint8_t *>(bytes.data());
     flatbuffers::Verifier verifier(data, bytes.size());
     if (!Wire::VerifyRecordBuffer(verifier))
-        return invalid("a configuration record does not verify");
+        return invalid("a configuration record fails verification");
     const auto *record = Wire::GetRecord(data);
     if (toString(record->environment()) != environment)
         return invalid("a configuration record belongs to another environment");
--- a/Libraries/LibConfiguration/CrossReferences.cpp
+++ b/Libraries/LibConfiguration/CrossReferences.cpp
@@ -17,7 +17,7 @@
     std::unordered_set<std::decay_t<decltype(key(list.values.front()))>> seen;
     for (std::size_t n = 0; n < list.values.size(); ++n) {
         if (!seen.insert(key(list.values[n])).second)
-            list.sources[n].addFault(field, "stands twice");
+            list.sources[n].addFault(field, "is a duplicate");
     }
 }
 
@@ -68,7 +68,7 @@
         for (std::size_t n = 0; n < m_contents.teams.values.size(); ++n) {
             for (const auto &hash : m_contents.teams.values[n].keyHashes) {
                 if (!seen.insert(hash).second)
-                    m_contents.teams.sources[n].addFault("key_hashes", "holds a hash twice");
+                    m_contents.teams.sources[n].addFault("key_hashes", "contains a duplicate hash");
             }
         }
     }
@@ -80,7 +80,8 @@
         for (std::size_t n = 0; n < classes.values.size(); ++n) {
             sum += classes.values[n].floorShare.millionths();
             if (sum > Share::Whole) {
-                classes.sources[n].addFault("floor_share", "brings the sum of floors above 1");
+                classes.sources[n].addFault("floor_share",
+                                            "raises the sum of floor shares above 1");
                 return;
             }
         }
@@ -96,7 +97,8 @@
             if (found == m_groups.end() || found->second != kind)
                 list.sources[n].addFault("upstream_group", message);
             else if (!m_referencedGroups.insert(group).second)
-                list.sources[n].addFault("upstream_group", "already serves another");
+                list.sources[n].addFault("upstream_group",
+                                         "is already used by another model or service");
         }
     }
 
@@ -129,7 +131,7 @@
             sum += contracts.values[n].ownedShare.millionths();
             if (wasWithin && sum > Share::Whole)
                 contracts.sources[n].addFault("owned_share",
-                                              "brings the sum of the group's shares above 1");
+                                              "raises the sum of the group's owned shares above 1");
         }
     }
 
--- a/Libraries/LibConfiguration/DocumentParser.cpp
+++ b/Libraries/LibConfiguration/DocumentParser.cpp
@@ -102,7 +102,7 @@
                 return other.method == route.method && other.pathPrefix == route.pathPrefix;
             });
         if (isDuplicate)
-            it.addFault("path_prefix", "stands twice with the same method");
+            it.addFault("path_prefix", "is a duplicate for the same method");
         service.routes.push_back(std::move(route));
     }
     return service;
@@ -227,7 +227,7 @@
         return parsed;
     if (isOfNewerFormat(*value)) {
         parsed.formatKnown = false;
-        parsed.faults.push_back({1, 1, "format", "is newer than this program"});
+        parsed.faults.push_back({1, 1, "format", "is newer than this program supports"});
         return parsed;
     }
     const TableReader root(*value, "", "", parsed.faults);
--- a/Libraries/LibConfiguration/NestingCheck.cpp
+++ b/Libraries/LibConfiguration/NestingCheck.cpp
@@ -20,7 +20,7 @@
         while (m_position < m_text.size()) {
             step();
             if (m_brackets > MaxBrackets || m_dots > MaxDotsPerLine)
-                return Fault {m_line, column(), {}, "nested too deep"};
+                return Fault {m_line, column(), {}, "is nested too deeply"};
         }
         return std::nullopt;
     }
--- a/Libraries/LibConfiguration/Publisher.cpp
+++ b/Libraries/LibConfiguration/Publisher.cpp
@@ -33,14 +33,14 @@
 {
     if (!history.isAnchored())
         throw Core::Error(Core::ErrorKind::ConfigurationConflict,
-                          "the log holds no copy of the configuration to go on from");
+                          "the log contains no usable copy of the configuration");
     if (history.isHalted())
         throw Core::Error(Core::ErrorKind::ConfigurationConflict,
-                          "the log holds a document of a newer format; use a newer program");
+                          "the log contains a document of a newer format; use a newer program");
     const auto inForce = history.current()->generation;
     if (request.replaces && *request.replaces != inForce)
         throw Core::Error(Core::ErrorKind::ConfigurationConflict,
-                          "generation " + std::to_string(inForce) + " is in force, not "
+                          "generation " + std::to_string(inForce) + " is active, not "
                               + std::to_string(*request.replaces));
 }
 
@@ -117,7 +117,7 @@
     co_await readHistory(history, [](const auto &) {});
     if (history.isAnchored() || history.isHalted())
         throw Core::Error(Core::ErrorKind::ConfigurationConflict,
-                          "the log still leads to a document; publish in place of it");
+                          "the log still determines a document; publish a replacement instead");
     const ConfigurationRecord renewal = Renewal {
         .generation = generation,
         .digest = Core::sha256Hex(request.bytes),
--- a/Services/jujubesaddled/Settings.cpp
+++ b/Services/jujubesaddled/Settings.cpp
@@ -52,7 +52,7 @@
     add("--admin", raw.admin, "JUJUBE_ADMIN", "Operators' port, ADDRESS:PORT");
     add("--peer", raw.peer, "JUJUBE_PEER", "Siblings' port, ADDRESS:PORT; empty for none");
     add("--instance", raw.instance, "JUJUBE_INSTANCE", "This instance's name");
-    add("--data-centre", raw.dataCentre, "JUJUBE_DATA_CENTRE", "The data centre it stands in");
+    add("--data-centre", raw.dataCentre, "JUJUBE_DATA_CENTRE", "The data centre of this instance");
     add("--environment", raw.environment, "JUJUBE_ENVIRONMENT", "trial, production, ...");
     add("--platform", raw.platform, "JUJUBE_PLATFORM", "ADDRESS:PORT, or embedded");
     add("--config", raw.configurationFile, "JUJUBE_CONFIG",
@@ -63,7 +63,7 @@
         "File with the key that siblings share; or give it in JUJUBE_PEER_KEY");
     add("--threads", raw.threads, "JUJUBE_THREADS", "Threads for requests; empty for one a core");
     add("--drain-grace-ms", raw.drainGraceMs, "JUJUBE_DRAIN_GRACE_MS",
-        "How long a shutdown goes on refusing new requests before it closes the port");
+        "How long a shutdown rejects new requests before it closes the port");
     add("--drain-limit-ms", raw.drainLimitMs, "JUJUBE_DRAIN_LIMIT_MS",
         "How long a shutdown waits for running requests");
     add("--key-window-s", raw.keyWindowS, "JUJUBE_KEY_WINDOW_S",
--- a/Tests/LibConfiguration/FakeLogService.h
+++ b/Tests/LibConfiguration/FakeLogService.h
@@ -66,7 +66,7 @@
 private:
     static Core::Error unavailable()
     {
-        return Core::Error(Core::ErrorKind::PlatformUnavailable, "ordered by the test");
+        return Core::Error(Core::ErrorKind::PlatformUnavailable, "failure injected by the test");
     }
     void requireAvailable() const
     {
--- a/Tests/LibConfiguration/TestConfigurationHistory.cpp
+++ b/Tests/LibConfiguration/TestConfigurationHistory.cpp
@@ -64,7 +64,7 @@
     CHECK(fixture.history.current()->publisher == "operator-b");
 }
 
-TEST_CASE("a publication counts once however often it was appended")
+TEST_CASE("a publication that is appended several times takes effect once")
 {
     Fixture fixture;
     fixture.publish(0, sampleDocument(1), "a");
@@ -99,7 +99,7 @@
     CHECK_FALSE(publication.change.apply("short"));
 }
 
-TEST_CASE("a reader that starts after retention has passed takes the state of a renewal")
+TEST_CASE("a reader that starts after records have expired restores the state of a renewal")
 {
     Fixture fixture;
     fixture.publish(0, sampleDocument(1), "a");
@@ -116,7 +116,7 @@
     CHECK(late.current()->digest == fixture.history.current()->digest);
 }
 
-TEST_CASE("a renewal by a paused instance does not bring an old state back")
+TEST_CASE("a renewal by a paused instance does not restore an old state")
 {
     Fixture fixture;
     fixture.publish(0, sampleDocument(1), "a");
@@ -160,7 +160,8 @@
     CHECK(lagging.current()->generation == 3);
 }
 
-TEST_CASE("a copy of an older or another generation does not replace what is in force")
+TEST_CASE(
+    "a copy of an older generation or of a different document does not replace the active one")
 {
     Fixture fixture;
     fixture.publish(0, sampleDocument(1), "a");
@@ -180,7 +181,7 @@
     CHECK(fixture.history.current()->bytes == sampleDocument(2));
 }
 
-TEST_CASE("a document of a newer format stops the fold instead of being refused")
+TEST_CASE("a document of a newer format stops processing instead of being rejected")
 {
     Fixture fixture;
     fixture.publish(0, "format = 2\nwhat = 'comes next'\n", "a");
--- a/Tests/LibConfiguration/TestConfigurationReader.cpp
+++ b/Tests/LibConfiguration/TestConfigurationReader.cpp
@@ -92,7 +92,7 @@
 
 } // namespace
 
-TEST_CASE("an accepted document comes into force on every instance, a refused one on none")
+TEST_CASE("an accepted document becomes active on every instance, a rejected one on none")
 {
     Fixture fixture;
     fixture.publish(0, invalidDocument(0));
@@ -106,7 +106,7 @@
         CHECK(it.current()->bytes == sampleDocument(1));
 }
 
-TEST_CASE("an instance goes on through an outage of the log and catches up after it")
+TEST_CASE("an instance keeps its configuration during a log outage and catches up afterwards")
 {
     Fixture fixture;
     fixture.publish(0, sampleDocument(1));
@@ -120,7 +120,8 @@
     CHECK(fixture.runUntil([&] { return reader.generation() == 2; }));
 }
 
-TEST_CASE("with the log out an instance starts from a sibling, and never goes back")
+TEST_CASE(
+    "an instance without the log adopts a sibling's document and never reverts to an older one")
 {
     Fixture fixture;
     fixture.publish(0, sampleDocument(1));
@@ -140,7 +141,7 @@
     CHECK(fixture.accepted == std::vector<Generation> {2, 3});
 }
 
-TEST_CASE("threads that bring versions in any order never announce or show an older one")
+TEST_CASE("threads that adopt versions in any order never announce or expose an older one")
 {
     constexpr Generation Versions = 60;
     Fixture fixture;
@@ -170,7 +171,7 @@
     CHECK(std::is_sorted(fixture.accepted.begin(), fixture.accepted.end()));
 }
 
-TEST_CASE("the log's word replaces what a sibling said of the same generation")
+TEST_CASE("the log's document replaces a sibling's document of the same generation")
 {
     Fixture fixture;
     auto &reader = fixture.start();
@@ -179,7 +180,7 @@
     CHECK(fixture.runUntil([&] { return reader.current()->bytes == sampleDocument(1); }));
 }
 
-TEST_CASE("the document outlives the log's retention, lost answers included")
+TEST_CASE("the document outlives the log's retention even when answers are lost")
 {
     Fixture fixture;
     fixture.service.lostAnswerPercent = 50;
@@ -198,7 +199,7 @@
     CHECK(kept.next < 60);
 }
 
-TEST_CASE("an instance whose calendar runs ahead does not flood the log with renewals")
+TEST_CASE("an instance whose wall clock is ahead does not flood the log with renewals")
 {
     Core::ManualClock ahead;
     Fixture fixture;
--- a/Tests/LibConfiguration/TestDocument.cpp
+++ b/Tests/LibConfiguration/TestDocument.cpp
@@ -16,7 +16,7 @@
     }
 }
 
-TEST_CASE("a document answers the lookups of the request path")
+TEST_CASE("a document provides the lookups of the request path")
 {
     const auto document = Document::parse(sourceFile("Examples/commission.toml")).value();
     const auto *team = document->teamByKey("example-key-gates");
@@ -37,7 +37,7 @@
     CHECK(document->upstreamGroup("tix-app")->pieceTokens == 0);
 }
 
-TEST_CASE("a call cannot slip past its at-most-once route")
+TEST_CASE("a call cannot bypass its at-most-once route")
 {
     const auto document = Document::parse(sourceFile("Examples/commission.toml")).value();
     const auto *service = document->service("tix-app");
--- a/Tests/LibConfiguration/TestDocumentFaults.cpp
+++ b/Tests/LibConfiguration/TestDocumentFaults.cpp
@@ -74,11 +74,11 @@
                          "owned_share = 0.000001\ndefault_class = \"interactive\"\n"
                          "allowed_classes = [\"interactive\"]\n",
                    "0.000001", "contract[1].owned_share",
-                   "brings the sum of the group's shares above 1"));
+                   "raises the sum of the group's owned shares above 1"));
     CHECK(hasFault(whole
                        + "\n[[priority_class]]\nid = \"late\"\nrank =  0\n"
                          "target_first_token_ms = 1\n",
-                   "0\ntarget_first_token_ms = 1\n", "priority_class[1].rank", "stands twice"));
+                   "0\ntarget_first_token_ms = 1\n", "priority_class[1].rank", "is a duplicate"));
 }
 
 TEST_CASE("every fault is reported at once, in the order of the text")
@@ -108,7 +108,7 @@
     CHECK_FALSE(Document::check("").document);
 }
 
-TEST_CASE("a document of a newer format is neither accepted nor judged")
+TEST_CASE("a document of a newer format is neither accepted nor validated")
 {
     const auto report = Document::check("format = 2\nnew_field = 1\n");
     CHECK_FALSE(report.document);
--- a/Tests/LibConfiguration/TestDocumentFuzz.cpp
+++ b/Tests/LibConfiguration/TestDocumentFuzz.cpp
@@ -48,7 +48,7 @@
 
 } // namespace
 
-TEST_CASE("a mutated document gives a document or faults, and the same verdict again")
+TEST_CASE("a mutated document parses or has faults, with the same result each time")
 {
     std::mt19937_64 random(20260925);
     std::size_t accepted = 0;
--- a/Tests/LibConfiguration/TestHistorySweep.cpp
+++ b/Tests/LibConfiguration/TestHistorySweep.cpp
@@ -189,7 +189,7 @@
 
 } // namespace
 
-TEST_CASE("all readers see one order and no generation falls, over seeded histories")
+TEST_CASE("all readers agree and no generation decreases, over seeded histories")
 {
     constexpr std::uint64_t Seeds = 300;
     std::size_t gaps = 0;
--- a/Tests/LibConfiguration/TestPublisher.cpp
+++ b/Tests/LibConfiguration/TestPublisher.cpp
@@ -73,7 +73,7 @@
     CHECK(fixture.publish(sampleDocument(2)).generation == 2);
 }
 
-TEST_CASE("an append that takes effect after the operator gave up is not called refused")
+TEST_CASE("an append that takes effect after the timeout is not reported as rejected")
 {
     Fixture fixture;
     fixture.service.delayedAppendPercent = 100;
@@ -83,7 +83,7 @@
     CHECK(fixture.accepted().size() == 1);
 }
 
-TEST_CASE("nothing is appended for a document with faults or a generation that has passed")
+TEST_CASE("nothing is appended for a document with faults or an outdated generation")
 {
     Fixture fixture;
     fixture.publish(sampleDocument(1));
@@ -98,7 +98,7 @@
     CHECK(fixture.log.read("configuration.trial", 0, 9).next == 1);
 }
 
-TEST_CASE("a stream that leads to no document any more is started over once")
+TEST_CASE("a stream that no longer determines a document is restarted once")
 {
     Fixture fixture;
     const PublishRequest request {.environment = Environment, .bytes = sampleDocument(2)};
@@ -114,7 +114,7 @@
     CHECK(fixture.publish(sampleDocument(3)).generation == 10);
 }
 
-TEST_CASE("of two racing restarts one wins, for every reader")
+TEST_CASE("one of two concurrent restarts wins for every reader")
 {
     std::size_t lost = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
@@ -149,7 +149,7 @@
     CHECK(lost > 0);
 }
 
-TEST_CASE("an outage ends as unavailable before anything was appended")
+TEST_CASE("an outage before the append is reported as unavailable")
 {
     Fixture fixture;
     fixture.service.isUnavailable = true;
@@ -161,7 +161,8 @@
     }
 }
 
-TEST_CASE("racing operators get one winner a generation and true answers, over seeded races")
+TEST_CASE(
+    "concurrent operators get one winner per generation and correct outcomes, over seeded races")
 {
     constexpr std::size_t Operators = 4;
     std::size_t lost = 0;
--- a/Tests/LibPlatform/TestInMemoryLog.cpp
+++ b/Tests/LibPlatform/TestInMemoryLog.cpp
@@ -5,7 +5,7 @@
 
 using namespace std::chrono_literals;
 
-TEST_CASE("offsets go on after retention has dropped records")
+TEST_CASE("offsets continue after retention has dropped records")
 {
     Core::ManualClock clock;
     Platform::InMemoryLog log(clock, 10s);
