--- a/Tests/LibConfiguration/TestDocumentFaults.cpp
+++ b/Tests/LibConfiguration/TestDocumentFaults.cpp
@@ -74,7 +74,7 @@
                          "owned_share = 0.000001\ndefault_class = \"interactive\"\n"
                          "allowed_classes = [\"interactive\"]\n",
                    "0.000001", "contract[1].owned_share",
-                   "brings the sum of the group's shares above 1"));
+                   "raises the sum of the group's owned shares above 1"));
     CHECK(hasFault(whole
                        + "\n[[priority_class]]\nid = \"late\"\nrank =  0\n"
                          "target_first_token_ms = 1\n",
