--- a/Utilities/jujubebench/AdmissionRun.cpp
+++ b/Utilities/jujubebench/AdmissionRun.cpp
@@ -102,7 +102,7 @@
         Accounting::UsageOutbox outbox(instanceName(n), 1);
         outbox.add(m_instances[n].meter->closeInterval(Generation));
         const auto batch = *outbox.nextBatch();
-        // Appended twice, as after a lost answer.
+        // Appends the record twice, as a retry after a lost acknowledgement does.
         ledger.apply(batch).value();
         ledger.apply(batch).value();
     }
@@ -207,7 +207,7 @@
 
 std::size_t AdmissionRun::chooseEngine(int priority) const
 {
-    // Looking into the endless queues of direct runs would take most of their time.
+    // Inspecting the unbounded queues of direct runs would take most of their time.
     const bool looksAtPrefill = m_mode != AdmissionMode::Direct;
     std::size_t best = 0;
     std::tuple<bool, std::uint64_t, std::size_t> bestCost;
@@ -249,7 +249,7 @@
         return;
     const auto id = found->second;
     const auto request = m_attempts.at(id).request;
-    // Once its caller has got a token the request runs to its end.
+    // A request runs to its end once its caller has received a token.
     if (m_outcomes[request].firstToken)
         return;
     m_engines[m_attempts.at(id).engine]->cancel(id);
--- a/Utilities/jujubebench/AdmissionRun.h
+++ b/Utilities/jujubebench/AdmissionRun.h
@@ -15,7 +15,7 @@
 
 namespace Bench {
 
-/// What requests of one class look like and how they are treated.
+/// Describes the requests of one class and how admission treats them.
 struct ClassLoad
 {
     std::string name;
@@ -34,44 +34,46 @@
 {
     std::size_t team = 0;
     std::size_t classIndex = 0;
-    /// Arrivals in units of what all engines can serve of the class alone.
+    /// Arrival rate as a multiple of the rate that all engines can serve of this class alone.
     double load = 0.1;
     EventQueue::Duration from {0};
     EventQueue::Duration to {0};
-    /// The entry instance that all arrivals come to; empty for any.
+    /// The entry instance that receives all arrivals; any instance when empty.
     std::optional<std::size_t> instance;
-    /// Left out of the run that the others are compared with.
+    /// Whether the baseline run without floods omits this stream.
     bool isFlood = false;
 };
 
-/// Work, rules and engines of one run.
+/// Holds the load, the admission rules and the engines of one run.
 struct AdmissionSetup
 {
     std::size_t instances = 8;
     std::vector<EngineSettings> engines;
     std::vector<ClassLoad> classes;
-    /// Part of the capacity that each team owns.
+    /// Share of the capacity that each team owns.
     std::vector<double> ownedShares;
     std::vector<StreamLoad> streams;
     EventQueue::Duration duration {std::chrono::seconds(30)};
 
-    /// Requests a second of the class that the engines can serve when they do nothing else.
+    /// Returns the requests per second of the class that the engines can serve when they serve
+    /// nothing else.
     double capacityRate(std::size_t classIndex) const;
     std::uint32_t slots() const;
 };
 
-/// Which parts of the admission are on.
+/// Selects the parts of admission that are enabled.
 enum class AdmissionMode {
     Ours,
     /// Instances never exchange demand.
     SafeShares,
-    /// Nobody is asked to yield.
+    /// No running request is preempted.
     NoPreemption,
-    /// Every request goes to an engine at once; only the engines' own priorities order the work.
+    /// Every request is sent to an engine immediately; only the engines' own priorities order the
+    /// work.
     Direct,
 };
 
-/// What became of one request.
+/// Records the outcome of one request.
 struct AdmissionOutcome
 {
     std::size_t team = 0;
@@ -86,10 +88,10 @@
     std::uint32_t preemptions = 0;
 };
 
-/// One run of seeded work through admission at several instances, each with its own share of the
-/// slots. Granted requests go to the engine with a free slot and the least prompt tokens left to
-/// prefill, known exactly, so that placement plays no part; direct ones to the engine with the
-/// fewest requests.
+/// Simulates one run of seeded load through admission at several instances, each with its own share
+/// of the slots. Granted requests go to the engine with a free slot and the fewest prompt tokens
+/// left to prefill. These counts are exact, so that placement does not influence the result. Direct
+/// requests go to the engine with the fewest requests.
 class AdmissionRun
 {
 public:
@@ -97,17 +99,19 @@
     AdmissionRun(const AdmissionRun &) = delete;
     AdmissionRun &operator=(const AdmissionRun &) = delete;
 
-    /// Runs to the end of the duration. Call once. Without floods the flood streams stay away.
+    /// Runs until the end of the duration. May be called only once. Flood streams are omitted
+    /// unless withFloods is set.
     void run(bool withFloods);
 
     const std::vector<AdmissionOutcome> &outcomes() const { return m_outcomes; }
-    /// Slots times seconds that each class used in [from, to), by class position.
+    /// Returns the slot-seconds that each class used in [from, to), indexed by class.
     std::vector<double> slotSeconds(EventQueue::Duration from, EventQueue::Duration to) const;
-    /// Slots that a team used at each tick of 100 ms.
+    /// Returns the slots that each team used at each tick of 100 ms.
     const std::vector<std::vector<std::uint32_t>> &teamSlots() const { return m_teamSlots; }
-    /// The account built from the usage records of all instances.
+    /// Returns the usage report built from the usage records of all instances.
     Accounting::UsageReport account();
-    /// The largest sum over the instances of slots that they might have used at one tick.
+    /// Returns the largest sum, over all instances at one tick, of the slots that they were allowed
+    /// to use.
     std::uint32_t largestShareSum() const { return m_largestShareSum; }
 
 private:
@@ -135,13 +139,13 @@
     void makeArrivals(const StreamLoad &stream);
     void arrive(std::size_t request);
     void submit(std::size_t request, bool isResumed);
-    /// The engine that the next request goes to.
+    /// Returns the engine that receives the next request.
     std::size_t chooseEngine(int priority) const;
     void send(std::size_t request, const Admission::Grant &grant);
     void preempt(std::size_t instance, Admission::TicketId ticket);
     void onFirstToken(std::uint64_t id);
     void onFinished(std::uint64_t id);
-    /// Ends an attempt and its use of a slot.
+    /// Ends an attempt and releases its slot.
     Attempt endAttempt(std::uint64_t id);
     void tick();
     void exchangeReports();
--- a/Utilities/jujubebench/AdmissionScenario.cpp
+++ b/Utilities/jujubebench/AdmissionScenario.cpp
@@ -56,7 +56,8 @@
     return load;
 }
 
-/// A stream of one team, or of every team when its table names none, with the load divided.
+/// Reads a stream of one team, or of every team with the load divided among them when its table
+/// names no team.
 std::vector<StreamLoad> readStream(const toml::value &table, const AdmissionSetup &setup)
 {
     StreamLoad stream;
@@ -98,7 +99,7 @@
     return setup;
 }
 
-/// One finished run and the figures drawn from it.
+/// Holds one finished run and computes statistics over it.
 class Measured
 {
 public:
@@ -111,7 +112,8 @@
 
     AdmissionRun &run() { return *m_run; }
 
-    /// The share-th smallest time to first token in seconds of the answered requests.
+    /// Returns the quantile `share` of the time to first token, in seconds, of the answered
+    /// requests.
     double firstToken(double share, std::size_t classIndex,
                       std::optional<std::size_t> team = {}) const
     {
@@ -129,8 +131,9 @@
         return times[static_cast<std::size_t>(std::max(rank, 1.0)) - 1];
     }
 
-    /// Answers finished in the window, each worth the part of a second that all engines need for
-    /// one of its class. With a target, only answers that met it count.
+    /// Returns the responses that finished in the window, each weighted by the fraction of a second
+    /// that all engines need for a request of its class. If the class has a target, only responses
+    /// that met it count.
     double served(std::optional<std::size_t> classIndex, bool isInTargetOnly,
                   std::optional<std::size_t> team = {}) const
     {
@@ -159,7 +162,7 @@
         return all > 0 ? refused / all : 0;
     }
 
-    /// Part of all slots' time in the window that the class used.
+    /// Returns the share of the slot time in the window that the class used.
     double slotShare(std::size_t classIndex) const
     {
         const std::chrono::duration<double> window = m_setup.duration - Warmup;
@@ -167,8 +170,8 @@
         return sums[classIndex] / (window.count() * m_setup.slots());
     }
 
-    /// Jain's index over the teams of what each got in proportion to what it is entitled to: its
-    /// demand, or its weighted max-min share of the capacity that was used where it asks for more.
+    /// Returns Jain's fairness index of each team's usage relative to its entitlement: its demand,
+    /// or its weighted max-min share of the used capacity if it demands more.
     double fairness() const
     {
         std::vector<Admission::Claimant> claimants(m_setup.ownedShares.size());
@@ -191,8 +194,8 @@
         return squares > 0 ? sum * sum / (teams * squares) : 0;
     }
 
-    /// Tokens by which the account differs from what the engines did, and slot-microseconds by
-    /// which its rows differ from the capacity.
+    /// Returns the difference in tokens between the usage report and the work of the engines, and
+    /// the difference in slot-microseconds between its rows and the capacity.
     std::uint64_t accountError()
     {
         const auto report = m_run->account();
@@ -218,7 +221,7 @@
     }
 
 private:
-    /// Requests that arrived after the warm-up.
+    /// Returns the requests that arrived after the warm-up.
     Outcomes counted() const
     {
         Outcomes some;
@@ -233,7 +236,7 @@
     std::unique_ptr<AdmissionRun> m_run;
 };
 
-/// One scenario over one deployment: its runs, its table and its targets.
+/// Runs one scenario on one deployment and produces its table and targets.
 class AdmissionComparison
 {
 public:
@@ -277,7 +280,7 @@
             add(rows, "lower class's slots / its floor",
                 m_ours.slotShare(LeastUrgent) / m_setup.classes[LeastUrgent].floorShare, 0.9,
                 BoundKind::AtLeast);
-            // Both classes in the same units on both sides, because their bottlenecks differ.
+            // Uses the same units for both classes on both sides, because their bottlenecks differ.
             add(rows, "answers within target / all answers",
                 m_ours.served({}, true) / m_ours.served({}, false), 0.95, BoundKind::AtLeast);
             add(rows, "slots in use / slots",
@@ -314,7 +317,8 @@
         }
     }
 
-    /// The first team is away until the flood stream of its own starts; the second borrows.
+    /// The first team sends nothing until its own flood stream starts; the second team borrows its
+    /// capacity.
     void judgeContracts(std::vector<TargetRow> &rows)
     {
         const auto &samples = m_ours.run().teamSlots();
--- a/Utilities/jujubebench/AdmissionScenario.h
+++ b/Utilities/jujubebench/AdmissionScenario.h
@@ -4,8 +4,8 @@
 
 namespace Bench {
 
-/// Floods, teams of unequal demand and contracts on the same seeded work: what admission gives to
-/// each class and team, beside the same work sent to the engines directly.
+/// Runs floods, teams of unequal demand and contracts on the same seeded load, and compares what
+/// admission gives each class and team with the same load sent to the engines directly.
 ScenarioReport runAdmissionScenario(const toml::value &scenario, const RunOptions &options);
 
 } // namespace Bench
--- a/Utilities/jujubebench/BaselinePolicies.cpp
+++ b/Utilities/jujubebench/BaselinePolicies.cpp
@@ -58,7 +58,8 @@
     std::vector<std::size_t> m_next;
 };
 
-/// Fewest requests by the last report and the instance's own sends since; ties at random.
+/// Chooses the engine with the fewest requests according to its last load report and the instance's
+/// own requests since; breaks ties at random.
 class LeastLoadedPolicy final : public Policy
 {
 public:
@@ -94,7 +95,7 @@
     std::vector<std::vector<std::size_t>> m_loads;
 };
 
-/// Plain consistent hashing (rendezvous) of one block of the prompt.
+/// Places by rendezvous hashing of one block of the prompt.
 class HashPolicy final : public Policy
 {
 public:
@@ -111,8 +112,9 @@
     bool m_isRoot;
 };
 
-/// Least time to first token by perfect knowledge of caches and load. With a home preference it
-/// weighs missed tokens double, since storing them evicts others, and breaks ties by rendezvous.
+/// Chooses the least time to first token from the actual state of caches and queues. With home
+/// preference it counts missed tokens twice, since storing them evicts others, and breaks ties by
+/// rendezvous hashing.
 class OraclePolicy final : public Policy
 {
 public:
--- a/Utilities/jujubebench/Deployment.cpp
+++ b/Utilities/jujubebench/Deployment.cpp
@@ -22,14 +22,15 @@
     return engines;
 }
 
-/// Eight teams, three of them large.
+/// Returns eight teams, three of them large.
 std::vector<TeamLoad> eightTeams()
 {
     return {{"team-0", 8}, {"team-1", 6}, {"team-2", 4}, {"team-3", 1},
             {"team-4", 1}, {"team-5", 1}, {"team-6", 1}, {"team-7", 1}};
 }
 
-/// Long style guides, class guides under them, and spreads that are checked a few times each.
+/// Long style guides, class guides nested under them, and spreads that are each checked a few
+/// times.
 Deployment liit()
 {
     Deployment deployment {"liit", 3, 7, makeEngines("keelemudel", 12, 3, 64), {}, {}};
@@ -43,7 +44,8 @@
     return deployment;
 }
 
-/// Festival rules that every caller shares, temples' pages under them, short conversations.
+/// Festival rules shared by every caller, temples' pages nested under them, and short
+/// conversations.
 Deployment commission()
 {
     Deployment deployment {"commission", 4, 8, makeEngines("lantern-llm", 18, 4, 64), {}, {}};
--- a/Utilities/jujubebench/Deployment.h
+++ b/Utilities/jujubebench/Deployment.h
@@ -7,19 +7,19 @@
 
 namespace Bench {
 
-/// How late and how lossy an instance's knowledge of the engines is.
+/// Configures the delay and loss of the information that an instance receives about the engines.
 struct ViewSettings
 {
     std::chrono::milliseconds loadReportInterval {200};
     std::chrono::milliseconds loadReportLag {100};
     std::chrono::milliseconds cacheEventLag {500};
-    /// How often an instance tells its siblings what is new; zero is never.
+    /// Interval at which an instance sends its updates to its siblings; zero disables the exchange.
     std::chrono::milliseconds exchangeInterval {1000};
-    /// Share of cache events that never arrive.
+    /// Fraction of the cache events that are lost.
     double cacheEventLoss = 0.05;
 };
 
-/// One deployment of the brief: engines, entry instances and the work that its teams send.
+/// Describes one deployment: its engines, its entry instances and the load that its teams send.
 struct Deployment
 {
     std::string name;
@@ -30,8 +30,8 @@
     ViewSettings views;
 };
 
-/// The deployment "liit" or "commission" at the size of the brief. Throws
-/// Core::Error(SettingsInvalid) for another name.
+/// Returns the deployment "liit" or "commission" at its full size. Throws
+/// Core::Error(SettingsInvalid) for any other name.
 Deployment deploymentByName(std::string_view name);
 
 } // namespace Bench
--- a/Utilities/jujubebench/EventQueue.h
+++ b/Utilities/jujubebench/EventQueue.h
@@ -9,28 +9,28 @@
 
 namespace Bench {
 
-/// Virtual time: runs callbacks in the order of their times, and in the order of scheduling among
-/// equal times, so that a run depends on its seed alone. Moves the manual clock it was given.
+/// Runs callbacks in virtual time, ordered by their due time and then by the order of scheduling,
+/// so that a run depends on its seed alone. Advances the manual clock passed to the constructor.
 class EventQueue
 {
 public:
     using Time = Core::Clock::Monotonic;
     using Duration = std::chrono::nanoseconds;
 
-    /// The clock must outlive the queue and be moved by nothing else.
+    /// The clock must outlive the queue and must not be advanced by anything else.
     explicit EventQueue(Core::ManualClock &clock);
 
-    /// The present virtual time.
+    /// Returns the current virtual time.
     Time now() const { return m_clock.now(); }
-    /// The clock that the queue moves, for the code under test.
+    /// Returns the clock that the queue advances, for the code under test.
     const Core::Clock &clock() const { return m_clock; }
     /// Runs the callback after the delay.
     void schedule(Duration delay, std::function<void()> callback);
-    /// Runs the callback at the time, or at once if that has passed.
+    /// Runs the callback at the given time, or immediately if that time has passed.
     void scheduleAt(Time time, std::function<void()> callback);
-    /// Runs everything due up to and including the time, and leaves the clock there.
+    /// Runs every event due up to and including the given time, and leaves the clock there.
     void runUntil(Time time);
-    /// Runs until nothing is scheduled.
+    /// Runs until no event is scheduled.
     void runAll();
 
 private:
--- a/Utilities/jujubebench/FakeEngine.h
+++ b/Utilities/jujubebench/FakeEngine.h
@@ -14,7 +14,7 @@
 /// Tokens in one cache block.
 constexpr std::uint64_t BlockTokens = 2000;
 
-/// The speed and size of one fake engine.
+/// Configures the speed and size of one fake engine.
 struct EngineSettings
 {
     std::string name;
@@ -24,47 +24,47 @@
     double prefillTokensPerSecond = 20000;
     /// Time between two tokens of one request in an otherwise empty batch.
     std::chrono::microseconds tokenInterval {15000};
-    /// How much longer the interval is in a full batch, as a share.
+    /// Relative increase of the token interval in a full batch.
     double batchSlowdown = 0.5;
 };
 
-/// One request as an engine sees it.
+/// Describes one request as the engine receives it.
 struct EngineRequest
 {
     std::uint64_t id = 0;
     /// Chained block hashes, BlockTokens each.
     std::vector<std::uint64_t> blocks;
-    /// Prompt tokens after the last whole block, never cached.
+    /// Prompt tokens after the last complete block; never cached.
     std::uint64_t tailTokens = 0;
     std::uint64_t outputTokens = 0;
-    /// Lower runs first.
+    /// Lower values run first.
     int priority = 0;
 
     std::uint64_t promptTokens() const { return blocks.size() * BlockTokens + tailTokens; }
 };
 
-/// What an engine says about its load.
+/// Describes the load that an engine reports.
 struct EngineLoad
 {
     EventQueue::Time measuredAt;
     std::uint64_t incarnation = 0;
     std::size_t running = 0;
     std::size_t queued = 0;
-    /// Prompt tokens not prefilled yet, as far as the cache does not hold them.
+    /// Prompt tokens that are neither prefilled nor cached.
     std::uint64_t pendingPrefillTokens = 0;
 };
 
-/// Callbacks of an engine. Unset ones are skipped.
+/// Callbacks of an engine. Unset callbacks are skipped.
 struct EngineHooks
 {
     std::function<void(std::uint64_t id, std::uint64_t cachedTokens)> firstToken;
     std::function<void(std::uint64_t id)> finished;
-    /// The engine crashed while it held the request.
+    /// Called when the engine crashes while it holds the request.
     std::function<void(std::uint64_t id)> failed;
 };
 
-/// A model engine in virtual time: a queue by priority, batch slots, one prefill at a time, decode
-/// in parallel, and a prefix cache that a crash empties.
+/// Simulates a model engine in virtual time: a priority queue, batch slots, one prefill at a time,
+/// parallel decoding, and a prefix cache that is lost in a crash.
 class FakeEngine
 {
 public:
@@ -78,17 +78,19 @@
     PrefixCache &cache() { return m_cache; }
     const PrefixCache &cache() const { return m_cache; }
 
-    /// Queues a request. Returns false, keeping nothing, when the engine is down.
+    /// Queues a request. Returns false and does not store the request when the engine is down.
     bool submit(EngineRequest request);
-    /// Takes a queued or running request out. Returns false if the engine does not hold it.
+    /// Removes a queued or running request. Returns false if the engine does not hold it.
     bool cancel(std::uint64_t id);
-    /// Loses every request and the cache, and stays down for the time.
+    /// Drops every request and the cache, and stays down for the given time.
     void crash(EventQueue::Duration downtime);
-    /// Runs at this share of its speed from now on (work already started keeps its end).
+    /// Sets the fraction of the full speed at which new work runs. Work already started keeps its
+    /// end time.
     void setSpeed(double share) { m_speed = share; }
-    /// Prompt tokens that would be prefilled before a new request of the priority.
+    /// Returns the prompt tokens that would be prefilled before a new request of the given
+    /// priority.
     std::uint64_t prefillTokensBefore(int priority) const;
-    /// The exact present load.
+    /// Returns the exact current load.
     EngineLoad load() const;
 
 private:
@@ -99,17 +101,17 @@
     };
     using QueueKey = std::pair<int, std::uint64_t>;
 
-    /// Starts the next prefill if a slot and the prefill stage are free.
+    /// Starts the next prefill if a slot is free and no prefill is running.
     void startNext();
     /// Ends the prefill of a request and starts its decode.
     void finishPrefill(std::uint64_t id, std::uint64_t cachedTokens);
-    /// Ends a request.
+    /// Ends the decode of a request.
     void finishDecode(std::uint64_t id);
-    /// Runs the callback after the delay unless the engine crashes before.
+    /// Runs the callback after the delay unless the engine crashes first.
     void scheduleGuarded(EventQueue::Duration delay, std::function<void()> callback);
-    /// Prompt tokens left of the prefill under way.
+    /// Returns the remaining prompt tokens of the current prefill.
     std::uint64_t prefillTokensLeft() const;
-    /// Prompt tokens of the request that the cache does not hold.
+    /// Returns the prompt tokens of the request that are not cached.
     std::uint64_t missedTokens(const EngineRequest &request) const;
 
     EventQueue &m_queue;
@@ -120,7 +122,7 @@
     std::uint64_t m_arrivals = 0;
     bool m_isUp = true;
     double m_speed = 1;
-    // Zero while the prefill stage is free.
+    // Id of the request being prefilled; zero when no prefill is running.
     std::uint64_t m_prefilling = 0;
     EventQueue::Time m_prefillEnd {};
     std::map<QueueKey, EngineRequest> m_waiting;
--- a/Utilities/jujubebench/OurPolicy.cpp
+++ b/Utilities/jujubebench/OurPolicy.cpp
@@ -15,15 +15,16 @@
 using Placement::PromptBlocks;
 using Placement::UpstreamSlot;
 
-/// Settings of the library and of what its caller does.
+/// Settings of LibPlacement and of its caller.
 struct OurSettings : PlacementSettings
 {
-    // Several times the blocks that all engines hold, and quick to search at each exchange.
+    // Several times the number of blocks that all engines cache, and still fast to search at each
+    // exchange.
     OurSettings() { prefixIndexCapacity = 8192; }
     bool exchanges = true;
 };
 
-/// A name of our policy and how its settings differ.
+/// Names a variant of the LibPlacement policy and the changes to its settings.
 struct Variant
 {
     std::string name;
@@ -46,7 +47,7 @@
     return all;
 }
 
-/// A number of the settings by its name.
+/// Names a numeric setting.
 struct NamedSetting
 {
     std::string_view name;
@@ -61,7 +62,8 @@
     NamedSetting {"nearEqualShare", &PlacementSettings::nearEqualShare},
 };
 
-/// Sets the number that the text names. Throws Core::Error(SettingsInvalid) if it names none.
+/// Sets the numeric setting given as name=value. Throws Core::Error(SettingsInvalid) for an unknown
+/// name.
 void applyOverride(PlacementSettings &settings, const std::string &text)
 {
     const auto split = text.find('=');
@@ -73,18 +75,18 @@
     settings.*(it->member) = std::stod(text.substr(split + 1));
 }
 
-/// What one instance knows.
+/// State of one instance.
 struct Instance
 {
     std::unique_ptr<Placement::Placement> placement;
     std::unordered_map<std::uint64_t, Placement::Decision> decisions;
 };
 
-/// Prefixes handed to a sibling that starts, and to one that is up at each exchange.
+/// Numbers of prefixes sent to a starting sibling, and to a running sibling at each exchange.
 constexpr std::size_t HandedPrefixes = 2000;
 constexpr std::size_t ExchangedPrefixes = 64;
 
-/// LibPlacement as the daemon would call it, one object an instance.
+/// Calls LibPlacement as the daemon does, with one object per instance.
 class OurPolicy final : public Policy
 {
 public:
@@ -193,14 +195,14 @@
                 static_cast<std::uint32_t>(settings.slots)};
     }
 
-    /// Starts the instance with nothing but the list of upstreams.
+    /// Starts the instance with only the list of upstreams.
     void start(Instance &instance)
     {
         instance.decisions.clear();
         instance.placement =
             std::make_unique<Placement::Placement>(m_context.queue->clock(), m_settings);
         instance.placement->noteInstanceCount(m_instances.size());
-        // Connecting to an upstream, which comes before any send, tells its incarnation.
+        // Connecting to an upstream, which precedes any request, reveals its incarnation.
         for (std::size_t i = 0; i < m_context.engines->size(); ++i)
             instance.placement->noteUpstream(viewOf(i, (*m_context.engines)[i]->incarnation()));
     }
--- a/Utilities/jujubebench/OurPolicy.h
+++ b/Utilities/jujubebench/OurPolicy.h
@@ -4,7 +4,8 @@
 
 namespace Bench {
 
-/// Our placement, or with one part switched off. Null for a name that is none of ours.
+/// Creates the policy that uses LibPlacement, or a variant of it with one part disabled. Returns
+/// null for any other name.
 std::unique_ptr<Policy> makeOurPolicy(const std::string &name, const PolicyContext &context);
 
 } // namespace Bench
--- a/Utilities/jujubebench/PlacementRun.cpp
+++ b/Utilities/jujubebench/PlacementRun.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// An instance that finds no upstream tries again after this time.
+/// Delay before an instance retries when it finds no upstream.
 constexpr std::chrono::milliseconds RetryDelay {200};
 
 } // namespace
@@ -45,7 +45,7 @@
             place(item.balancerDraw % m_deployment.instances, item);
         });
     }
-    // Answers that are still missing after this long count as never given.
+    // Responses still missing after this time count as unanswered.
     constexpr std::chrono::seconds DrainTime {60};
     m_queue.runUntil(EventQueue::Time(m_deployment.work.duration + DrainTime));
     return std::move(m_statistics);
@@ -113,7 +113,7 @@
         const auto engine = m_policy->choose(instance, item, open);
         EngineRequest request {item.id, item.blocks, item.tailTokens, item.outputTokens,
                                item.isUrgent ? 0 : 1};
-        // The attempt stands before the engine may call back.
+        // Records the attempt before the engine can call back.
         m_attempts[item.id] = {instance, engine};
         m_policy->sent(instance, item, engine);
         if (m_engines[engine]->submit(std::move(request)))
--- a/Utilities/jujubebench/PlacementRun.h
+++ b/Utilities/jujubebench/PlacementRun.h
@@ -9,7 +9,7 @@
 
 namespace Bench {
 
-/// What breaks in a run.
+/// Kind of a fault that a run injects.
 enum class FaultKind {
     EngineCrash,
     InstanceRestart,
@@ -17,28 +17,29 @@
     SlowEngine,
 };
 
-/// One fault. Its targets are the first `count` engines, instances or data centres.
+/// Describes one fault. Its targets are the first `count` engines, instances or data centres.
 struct Fault
 {
     FaultKind kind = FaultKind::EngineCrash;
     EventQueue::Duration at {0};
     EventQueue::Duration duration {0};
     std::size_t count = 1;
-    /// Remaining share of the speed, for SlowEngine.
+    /// Remaining fraction of the speed, for SlowEngine.
     double speed = 1;
 };
 
-/// One policy over one deployment's work: several instances, each with its own lagging view.
+/// Simulates one policy under the load of one deployment, with several instances that each have
+/// their own delayed view of the engines.
 class PlacementRun
 {
 public:
-    /// The work must outlive the run.
+    /// The work items must outlive the run.
     PlacementRun(const Deployment &deployment, const std::vector<Fault> &faults,
                  const std::vector<WorkItem> &work, std::uint64_t seed);
     PlacementRun(const PlacementRun &) = delete;
     PlacementRun &operator=(const PlacementRun &) = delete;
 
-    /// Runs all work through the policy. Call once.
+    /// Routes all work items by the policy. May be called only once.
     RunStatistics run(const std::string &policyName,
                       const std::vector<std::string> &overrides = {});
 
@@ -49,23 +50,23 @@
         std::size_t engine = 0;
     };
 
-    /// Builds the engines with hooks into this run.
+    /// Creates the engines with callbacks into this run.
     void makeEngines();
     /// Schedules the fault and its end.
     void scheduleFault(const Fault &fault);
     /// Restarts the first `count` instances at once.
     void restartInstances(std::size_t count);
-    /// Routes the item from the instance, trying others while connections are refused.
+    /// Routes the item from the instance, and tries other engines while connections are refused.
     void place(std::size_t instance, const WorkItem &item);
-    /// Engines that the instance can reach and has not seen refuse lately.
+    /// Returns the engines that the instance can reach and that have not refused it recently.
     std::vector<std::size_t> candidates(std::size_t instance) const;
-    /// Whether no cut lies between the instance and the engine.
+    /// Returns whether no data centre cut separates the instance from the engine.
     bool isReachable(std::size_t instance, std::size_t engine) const;
-    /// Sends every instance the engine's load, and again after the interval.
+    /// Sends the engine's load to every instance and schedules the next report.
     void reportLoad(std::size_t engine);
-    /// Lets the instance tell its siblings, and again after the interval.
+    /// Lets the instance send updates to its siblings and schedules the next exchange.
     void exchange(std::size_t instance);
-    /// Passes on a cache change late, or loses it.
+    /// Delivers a cache change after a delay, or drops it.
     void reportCacheChange(std::size_t engine, CacheChange change, std::uint64_t block);
     void onFirstToken(std::size_t engine, std::uint64_t id, std::uint64_t cachedTokens);
     void onFinished(std::uint64_t id);
@@ -81,7 +82,7 @@
     EventQueue m_queue {m_clock};
     std::vector<std::unique_ptr<FakeEngine>> m_engines;
     std::unique_ptr<Policy> m_policy;
-    // Engines that refused an instance, until a load report shows them up again.
+    // Engines that refused each instance, until a load report shows that they are up again.
     std::vector<std::set<std::size_t>> m_refused;
     std::set<std::size_t> m_cutDataCentres;
     std::unordered_map<std::uint64_t, Attempt> m_attempts;
--- a/Utilities/jujubebench/PlacementScenario.cpp
+++ b/Utilities/jujubebench/PlacementScenario.cpp
@@ -14,19 +14,19 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// The policy whose figures the targets judge.
+/// Policy whose results are compared with the targets.
 constexpr std::string_view JudgedPolicy = "placement";
 
-// The stated targets of the project, kept whatever is measured.
+// Fixed targets of the project, independent of the measured values.
 constexpr double LeastShareOfOracle = 0.95;
 constexpr double LeastGainOverLeastLoaded = 1.3;
 constexpr double MostRecomputedBeyondOracle = 0.10;
 constexpr double SteadyShareAfterFault = 0.9;
 constexpr seconds MostRecoveryTime {5};
-/// Arrivals whose hit rate tells whether the rate is back.
+/// Window of arrivals whose hit rate decides whether the hit rate has recovered.
 constexpr seconds RecoveryWindow {1};
 
-/// A scenario file, read.
+/// Holds the parsed contents of a scenario file.
 struct Scenario
 {
     std::string name;
@@ -36,18 +36,18 @@
     seconds warmUp {10};
     ViewSettings views;
     double loadFactor = 1;
-    /// Cache size of every engine in blocks; zero keeps the deployment's.
+    /// Cache size of every engine in blocks; zero keeps the deployment's value.
     std::size_t cacheBlocks = 0;
     bool hasShift = false;
     bool isAblated = false;
     bool judgesSteady = false;
     bool judgesRecovery = false;
-    /// When the shift or the faults come.
+    /// Time of the shift or the faults.
     seconds eventAt {0};
     std::vector<Fault> faults;
 };
 
-/// The runs of one deployment, by policy.
+/// Holds the runs of one deployment by policy.
 using Runs = std::vector<std::pair<std::string, RunStatistics>>;
 
 FaultKind faultKind(const std::string &name)
@@ -155,7 +155,8 @@
     return it == runs.end() ? nullptr : &it->second;
 }
 
-/// The oracle with the higher hit rate, so that the targets are held against the harder one.
+/// Returns the oracle with the higher hit rate, so that the results are compared with the stricter
+/// reference.
 const RunStatistics *findOracle(const Runs &runs, EventQueue::Duration from,
                                 EventQueue::Duration to)
 {
@@ -239,7 +240,8 @@
                               static_cast<double>(MostRecoveryTime.count()), BoundKind::AtMost});
 }
 
-/// One line a second: the hit rate of ours as a bar, least-loaded's as a mark.
+/// Draws one line per second: the hit rate of the LibPlacement policy as a bar, that of
+/// least-loaded as a mark.
 void appendChart(ScenarioReport &report, const std::string &title, const Scenario &scenario,
                  const Deployment &deployment, const Runs &runs)
 {
--- a/Utilities/jujubebench/PlacementScenario.h
+++ b/Utilities/jujubebench/PlacementScenario.h
@@ -4,8 +4,8 @@
 
 namespace Bench {
 
-/// Compares routing policies on the same seeded work: prefix hit rate, recomputed tokens and time
-/// to first token, under the faults of the scenario file.
+/// Compares the routing policies on the same seeded load by prefix hit rate, recomputed tokens and
+/// time to first token, under the faults of the scenario file.
 ScenarioReport runPlacementScenario(const toml::value &scenario, const RunOptions &options);
 
 } // namespace Bench
--- a/Utilities/jujubebench/PrefixCache.h
+++ b/Utilities/jujubebench/PrefixCache.h
@@ -9,29 +9,31 @@
 
 namespace Bench {
 
-/// What a cache did with one block.
+/// Kind of a change to one cached block.
 enum class CacheChange {
     Stored,
     Evicted,
 };
 
-/// An engine's prefix cache: block hashes kept by last use, the leaf of a chain evicted before its
-/// root.
+/// Simulates an engine's prefix cache with least-recently-used eviction. The leaf of a chain is
+/// evicted before its root.
 class PrefixCache
 {
 public:
     using ChangeHook = std::function<void(CacheChange, std::uint64_t block)>;
 
-    /// Room for the given number of blocks.
+    /// The capacity is a number of blocks.
     explicit PrefixCache(std::size_t capacity);
 
-    /// Called for every block stored or evicted; not for clear().
+    /// Sets the callback for every stored or evicted block. clear() does not call it.
     void setChangeHook(ChangeHook hook) { m_changeHook = std::move(hook); }
-    /// The number of leading blocks of the chain that are cached, without counting as a use.
+    /// Returns the number of leading blocks of the chain that are cached, without marking them as
+    /// used.
     std::size_t match(std::span<const std::uint64_t> chain) const;
-    /// Marks the chain as used and stores what is missing, evicting the least recently used.
+    /// Marks the chain as used and stores the missing blocks, evicting the least recently used
+    /// ones.
     void store(std::span<const std::uint64_t> chain);
-    /// Forgets everything, as a crash does.
+    /// Removes all blocks, as a crash does.
     void clear();
 
 private:
--- a/Utilities/jujubebench/Report.h
+++ b/Utilities/jujubebench/Report.h
@@ -5,13 +5,13 @@
 
 namespace Bench {
 
-/// Which side of the bound is good.
+/// Direction in which a measured value meets its bound.
 enum class BoundKind {
     AtLeast,
     AtMost,
 };
 
-/// One stated target and what a run measured.
+/// Holds one target and the measured value.
 struct TargetRow
 {
     std::string target;
@@ -23,7 +23,7 @@
     bool isMet() const;
 };
 
-/// Columns of text with a title.
+/// Holds a titled table of text cells.
 struct Table
 {
     std::string title;
@@ -31,7 +31,7 @@
     std::vector<std::vector<std::string>> rows;
 };
 
-/// What one scenario produced.
+/// Holds the results of one scenario.
 struct ScenarioReport
 {
     std::vector<Table> tables;
@@ -40,13 +40,13 @@
     std::vector<TargetRow> targets;
 };
 
-/// A number with a fixed count of decimals.
+/// Returns the value with a fixed number of decimals.
 std::string fixed(double value, int decimals);
 
-/// The reports as aligned text, one row per target last.
+/// Returns the reports as aligned text, ending with one row per target.
 std::string formatText(const std::vector<ScenarioReport> &reports);
 
-/// The reports as one JSON object: {"tables":[...],"targets":[...]}.
+/// Returns the reports as one JSON object: {"tables":[...],"targets":[...]}.
 std::string formatJson(const std::vector<ScenarioReport> &reports);
 
 } // namespace Bench
--- a/Utilities/jujubebench/Workload.cpp
+++ b/Utilities/jujubebench/Workload.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Draws ranks with probability falling as a power of the rank.
+/// Draws ranks with a probability that falls as a power of the rank (Zipf).
 class ZipfDraw
 {
 public:
@@ -36,7 +36,7 @@
     std::vector<double> m_cumulative;
 };
 
-/// A number in [0, 1) that does not depend on the standard library's distributions.
+/// Returns a number in [0, 1) that does not depend on the standard library's distributions.
 double uniform(std::mt19937_64 &rng)
 {
     constexpr double Scale = 1.0 / 9007199254740992.0; // 2^-53
@@ -63,7 +63,7 @@
     for (std::size_t i = 0; i < settings.levels.size(); ++i) {
         const auto &level = settings.levels[i];
         auto text = static_cast<std::uint64_t>(draws[i].draw(uniform(rng)));
-        // A shift makes texts popular that nobody asked for before.
+        // A shift makes texts popular that were not requested before.
         if (isShifted && level.count > 1)
             text += level.count;
         if (level.lifetime.count() > 0)
--- a/Utilities/jujubebench/Workload.h
+++ b/Utilities/jujubebench/Workload.h
@@ -8,43 +8,44 @@
 
 namespace Bench {
 
-/// One level of nested prompt prefixes, such as style guides, or spreads under a style guide.
+/// Describes one level of nested prompt prefixes, such as style guides, or spreads under a
+/// style guide.
 struct PrefixLevel
 {
-    /// Different texts under one parent.
+    /// Number of different texts under one parent.
     std::size_t count = 1;
-    /// Cache blocks of each text.
+    /// Number of cache blocks of each text.
     std::size_t blocks = 1;
-    /// Zipf exponent of the texts' popularity; zero is even.
+    /// Zipf exponent of the texts' popularity; zero is uniform.
     double skew = 0;
-    /// After this time a text is replaced by a new one; zero keeps it for the whole run.
+    /// Time after which a text is replaced by a new one; zero keeps it for the whole run.
     std::chrono::milliseconds lifetime {0};
 };
 
-/// One team's part in the work.
+/// Describes one team's share of the load.
 struct TeamLoad
 {
     std::string name;
-    /// Relative to the other teams' shares.
+    /// Weight relative to the other teams.
     double share = 1;
 };
 
-/// Seeded work: Poisson arrivals whose prompts nest in levels.
+/// Configures the seeded load: Poisson arrivals with nested prompt prefixes.
 struct WorkloadSettings
 {
     std::vector<TeamLoad> teams;
     std::vector<PrefixLevel> levels;
     double requestsPerSecond = 10;
     EventQueue::Duration duration {std::chrono::seconds(60)};
-    /// Share of requests of the urgent class.
+    /// Fraction of the requests that belong to the urgent class.
     double urgentShare = 0.7;
     std::uint64_t meanTailTokens = 300;
     std::uint64_t meanOutputTokens = 100;
-    /// From this time on other texts are the popular ones; zero never shifts.
+    /// Time at which other texts become the popular ones; zero disables the shift.
     EventQueue::Duration shiftAt {0};
 };
 
-/// One request of the work.
+/// Describes one request of the load.
 struct WorkItem
 {
     std::uint64_t id = 0;
@@ -55,11 +56,11 @@
     std::vector<std::uint64_t> blocks;
     std::uint64_t tailTokens = 0;
     std::uint64_t outputTokens = 0;
-    /// Picks the entry instance, modulo the number that are up.
+    /// Random number that selects the entry instance, modulo the number of instances that are up.
     std::uint64_t balancerDraw = 0;
 };
 
-/// Makes the whole work of a run in arrival order. Ids start at 1.
+/// Generates all requests of a run in arrival order. Ids start at 1.
 std::vector<WorkItem> generateWorkload(const WorkloadSettings &settings, std::uint64_t seed);
 
 } // namespace Bench
--- a/Utilities/jujubebench/main.cpp
+++ b/Utilities/jujubebench/main.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Runs one scenario file with the family that it names.
+/// Runs one scenario file with the family that the file selects.
 Bench::ScenarioReport runFile(const std::string &path, const Bench::RunOptions &options)
 {
     const auto scenario = toml::parse(path);
--- a/Utilities/jujubecapacity/AdmissionReportRole.cpp
+++ b/Utilities/jujubecapacity/AdmissionReportRole.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-// The length field and the authentication tag of a frame.
+// Size of the length field and the authentication tag of a frame.
 constexpr std::size_t FrameBytes = 20;
 constexpr std::size_t Groups = 19;
 
--- a/Utilities/jujubecapacity/AppendRole.cpp
+++ b/Utilities/jujubecapacity/AppendRole.cpp
@@ -19,7 +19,7 @@
 constexpr auto AppendTime = 5ms;
 constexpr auto RunTime = 5s;
 
-/// Claims of a whole fleet, appended by their own nodes or by one writer a partition.
+/// Appends the claims of a whole fleet, either by each node or by one writer per partition.
 class AppendRun
 {
 public:
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Gives appends a second, records an append and the mean time until a claim is in the log.
+    /// Returns the appends per second, the records per append and the mean time until a claim is in
+    /// the log.
     std::vector<std::string> run(double claimsPerSecond)
     {
         const double perStep = claimsPerSecond * std::chrono::duration<double>(Step).count();
--- a/Utilities/jujubecapacity/CacheIndexRole.cpp
+++ b/Utilities/jujubecapacity/CacheIndexRole.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t Decisions = 20'000;
 constexpr std::size_t PrefixFamilies = 20'000;
 
-/// Four nested blocks, the outer ones shared by more prompts.
+/// Returns four nested blocks; the outer ones are shared by more prompts.
 Placement::PromptBlocks nestedPrompt(std::uint64_t number)
 {
     const std::array<Placement::BlockHash, 4> hashes {number % 50 + 1, number % 500 + 1'000,
--- a/Utilities/jujubecapacity/ConfigurationRole.cpp
+++ b/Utilities/jujubecapacity/ConfigurationRole.cpp
@@ -11,7 +11,8 @@
 
 constexpr std::size_t Models = 19;
 
-/// A document of 19 models and so many teams, each with a contract for one of the groups.
+/// Returns a document with 19 models and the given number of teams, each with a contract for one of
+/// the groups.
 std::string documentText(std::size_t teams, std::size_t changed)
 {
     std::ostringstream out;
--- a/Utilities/jujubecapacity/Measure.h
+++ b/Utilities/jujubecapacity/Measure.h
@@ -6,13 +6,13 @@
 #include <cstddef>
 #include <ctime>
 
-/// Processor time that this process has used.
+/// Returns the CPU time that this process has used.
 inline std::chrono::duration<double> processorTime()
 {
     return std::chrono::duration<double>(static_cast<double>(std::clock()) / CLOCKS_PER_SEC);
 }
 
-/// Bytes that are allocated on the heap now.
+/// Returns the number of bytes currently allocated on the heap.
 inline double heapBytes()
 {
     const auto info = mallinfo2();
--- a/Utilities/jujubecapacity/MembershipRole.cpp
+++ b/Utilities/jujubecapacity/MembershipRole.cpp
@@ -27,7 +27,7 @@
             static_cast<double>(node.messagesSent)};
 }
 
-/// Runs until the condition holds and gives the virtual seconds that it took.
+/// Runs until the condition holds and returns the virtual seconds that it took.
 double runUntil(FakeFleet &fleet, std::chrono::seconds longest, const auto &condition)
 {
     const auto start = fleet.now();
--- a/Utilities/jujubecapacity/PeerLinkRole.cpp
+++ b/Utilities/jujubecapacity/PeerLinkRole.cpp
@@ -45,7 +45,7 @@
     return settings;
 }
 
-/// One server, and a client process's end of the link for each of so many siblings.
+/// Sets up one server, and one client process with its end of the link per sibling.
 class LinkBench
 {
 public:
@@ -77,7 +77,7 @@
     LinkBench(const LinkBench &) = delete;
     LinkBench &operator=(const LinkBench &) = delete;
 
-    /// Lets every client ask so many times, one after the other.
+    /// Lets every client send the given number of requests, one after the other.
     void askAll(std::size_t times)
     {
         m_left = m_clients.size();
--- a/Utilities/jujubecapacity/Roles.h
+++ b/Utilities/jujubecapacity/Roles.h
@@ -4,13 +4,13 @@
 
 #include <vector>
 
-/// How much to run: everything, or the sizes that fit into a few seconds.
+/// Extent of a measurement: all sizes, or only those that take a few seconds.
 enum class Extent {
     Full,
     Quick,
 };
 
-// Each measures one role at several sizes and gives the tables for the capacity page.
+// Each function measures one role at several sizes and returns the tables for the capacity page.
 std::vector<Table> measureMembership(Extent extent);
 std::vector<Table> measureSharing(Extent extent);
 std::vector<Table> measurePeerLink(Extent extent);
--- a/Utilities/jujubecapacity/SharingRole.cpp
+++ b/Utilities/jujubecapacity/SharingRole.cpp
@@ -20,11 +20,11 @@
 constexpr double RequestsPerSecondPerNode = 22;
 constexpr auto Step = 250ms;
 constexpr std::size_t StepsPerSecond = 4;
-// After the prefixes have all changed: the seconds over which known homes are counted.
+// Seconds, after all prefixes have changed, over which known preferred upstreams are counted.
 constexpr std::size_t EarlySeconds[] = {3, 8};
 constexpr std::size_t LateSeconds[] = {20, 25};
 
-/// Draws prefixes by a Zipf law of exponent one.
+/// Draws prefixes by a Zipf distribution with exponent one.
 class ZipfDraw
 {
 public:
@@ -62,7 +62,8 @@
     double generationSeconds = 0;
 };
 
-/// Siblings that see the same hot prefixes, each from its own requests and from the others' word.
+/// Simulates siblings that see the same frequently used prefixes, each from its own requests and
+/// from the updates of the others.
 class SharingRun
 {
 public:
@@ -142,7 +143,7 @@
 
     void deliver(Sibling &sender, const std::string &address, const Peer::Body &body)
     {
-        // The frame's length and tag come on top of the message.
+        // Adds the length field and the tag of the frame to the size of the message.
         constexpr std::size_t FrameBytes = 20;
         const auto payload = Peer::encodeMessage(Peer::Wire::Purpose::OneWay, 0, body);
         sender.bytesSent += payload.size() + FrameBytes;
--- a/Utilities/jujubecapacity/Table.h
+++ b/Utilities/jujubecapacity/Table.h
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-/// One table of the capacity page.
+/// Holds one table of the capacity page.
 struct Table
 {
     std::string title;
@@ -14,5 +14,5 @@
     void print() const;
 };
 
-/// A number with three significant digits or, from a thousand on, without a fraction.
+/// Formats a number with three significant digits, or without a fraction from 1000 on.
 std::string figure(double value);
--- a/Utilities/jujubecapacity/UsageRole.cpp
+++ b/Utilities/jujubecapacity/UsageRole.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t Groups = 19;
 constexpr std::size_t RequestsPerTeam = 20;
-// What one instance serves: each team has work in one group within an interval.
+// Load of one instance: each team sends requests to one group within an interval.
 constexpr auto Interval = 60s;
 
 std::vector<std::string> measureUsage(std::size_t teams)
--- a/Utilities/jujubecapacity/main.cpp
+++ b/Utilities/jujubecapacity/main.cpp
@@ -9,8 +9,8 @@
 #include <map>
 #include <string>
 
-/// Measures the slopes of the capacity page with library objects in one process, and prints its
-/// tables.
+/// Measures the growth rates of the capacity page with library objects in one process, and prints
+/// the tables.
 int main(int argc, char **argv)
 {
     const std::map<std::string, std::function<std::vector<Table>(Extent)>> roles {
--- a/Utilities/jujubedecision/AllocationCount.h
+++ b/Utilities/jujubedecision/AllocationCount.h
@@ -2,5 +2,6 @@
 
 #include <cstddef>
 
-/// Heap allocations of this thread so far, counted by this program's operator new.
+/// Returns the number of heap allocations of this thread so far, counted by this program's operator
+/// new.
 std::size_t allocationCount();
--- a/Utilities/jujubedecision/main.cpp
+++ b/Utilities/jujubedecision/main.cpp
@@ -14,15 +14,15 @@
 
 using namespace Placement;
 
-/// Texts of each of the four nesting levels, and blocks of each text.
+/// Number of texts at each of the four nesting levels, and number of blocks of each text.
 constexpr std::size_t LevelTexts = 8;
 constexpr std::size_t LevelBlocks = 2;
 constexpr std::size_t Levels = 4;
-/// Workers of the two fleets whose decisions are compared.
+/// Numbers of workers of the two fleets whose decision times are compared.
 constexpr std::size_t SmallFleet = 150;
 constexpr std::size_t LargeFleet = 1500;
 
-/// A fleet with a warm prefix-cache index, and prompts of four nested levels.
+/// Sets up a fleet with a warm prefix-cache index, and prompts of four nested levels.
 class Fleet
 {
 public:
@@ -40,13 +40,13 @@
             serve();
     }
 
-    /// One decision.
+    /// Makes one decision.
     std::optional<Decision> decide()
     {
         m_next = (m_next + 1) % m_prompts.size();
         return m_placement.choose({m_prompts[m_next], {}, {}}, *m_set, m_rng);
     }
-    /// One decision and the notes of its request.
+    /// Makes one decision and records the observations of its request.
     void serve()
     {
         auto decision = decide();
@@ -91,7 +91,8 @@
         fleet.serve();
 }
 
-/// Counts the heap allocations of many decisions with their notes, after a first round.
+/// Counts the heap allocations of many decisions with their recorded observations, after a warm-up
+/// round.
 std::size_t countAllocations()
 {
     constexpr int Decisions = 10000;
@@ -102,7 +103,7 @@
     return allocationCount() - before;
 }
 
-/// The row of the allocation target. Returns whether it is met.
+/// Prints the row of the allocation target. Returns whether the target is met.
 bool reportAllocations()
 {
     const auto allocations = countAllocations();
@@ -111,8 +112,8 @@
     return allocations == 0;
 }
 
-/// The least processor time of one decision over several rounds, so that other work on the machine
-/// disturbs it little.
+/// Returns the minimum CPU time of one decision over several rounds, which limits the influence of
+/// other work on the machine.
 std::chrono::nanoseconds decisionTime(std::size_t workers)
 {
     constexpr int Rounds = 10;
@@ -129,7 +130,7 @@
     return least;
 }
 
-/// The row of the time target, and the growth ratio. Returns whether the time is met.
+/// Prints the row of the time target and the growth ratio. Returns whether the time target is met.
 bool reportTime()
 {
     constexpr std::chrono::nanoseconds Bound {20000};
