--- a/Utilities/jujubebench/AdmissionRun.cpp
+++ b/Utilities/jujubebench/AdmissionRun.cpp
@@ -102,7 +102,7 @@
         Accounting::UsageOutbox outbox(instanceName(n), 1);
         outbox.add(m_instances[n].meter->closeInterval(Generation));
         const auto batch = *outbox.nextBatch();
-        // Appends the record twice, as a retry after a lost acknowledgement does.
+        // Applies the batch twice, as happens when a lost answer leads to a second append.
         ledger.apply(batch).value();
         ledger.apply(batch).value();
     }
--- a/Utilities/jujubebench/AdmissionScenario.cpp
+++ b/Utilities/jujubebench/AdmissionScenario.cpp
@@ -131,9 +131,9 @@
         return times[static_cast<std::size_t>(std::max(rank, 1.0)) - 1];
     }
 
-    /// Returns the responses that finished in the window, each weighted by the fraction of a second
-    /// that all engines need for a request of its class. If the class has a target, only responses
-    /// that met it count.
+    /// Returns the capacity-weighted number of responses that finished after the warm-up. Each
+    /// counts as the fraction of a second that all engines need for a request of its class. With
+    /// isInTargetOnly, late responses of a class with a target are not counted.
     double served(std::optional<std::size_t> classIndex, bool isInTargetOnly,
                   std::optional<std::size_t> team = {}) const
     {
@@ -194,8 +194,8 @@
         return squares > 0 ? sum * sum / (teams * squares) : 0;
     }
 
-    /// Returns the difference in tokens between the usage report and the work of the engines, and
-    /// the difference in slot-microseconds between its rows and the capacity.
+    /// Returns the sum of two differences: in tokens between the usage report and the finished
+    /// requests, and in slot-microseconds between the report's rows and the capacity.
     std::uint64_t accountError()
     {
         const auto report = m_run->account();
@@ -317,8 +317,8 @@
         }
     }
 
-    /// The first team sends nothing until its own flood stream starts; the second team borrows its
-    /// capacity.
+    /// Adds the targets of a contract. The first team sends nothing until its own stream starts;
+    /// the second team borrows its capacity.
     void judgeContracts(std::vector<TargetRow> &rows)
     {
         const auto &samples = m_ours.run().teamSlots();
--- a/Utilities/jujubebench/BaselinePolicies.cpp
+++ b/Utilities/jujubebench/BaselinePolicies.cpp
@@ -112,8 +112,8 @@
     bool m_isRoot;
 };
 
-/// Chooses the least time to first token from the actual state of caches and queues. With home
-/// preference it counts missed tokens twice, since storing them evicts others, and breaks ties by
+/// Chooses the least time to first token from the actual state of caches and queues. With upstream
+/// affinity it counts missed tokens twice, since storing them evicts others, and breaks ties by
 /// rendezvous hashing.
 class OraclePolicy final : public Policy
 {
--- a/Utilities/jujubebench/EventQueue.h
+++ b/Utilities/jujubebench/EventQueue.h
@@ -24,9 +24,9 @@
     Time now() const { return m_clock.now(); }
     /// Returns the clock that the queue advances, for the code under test.
     const Core::Clock &clock() const { return m_clock; }
-    /// Runs the callback after the delay.
+    /// Schedules the callback to run after the delay.
     void schedule(Duration delay, std::function<void()> callback);
-    /// Runs the callback at the given time, or immediately if that time has passed.
+    /// Schedules the callback for the given time, or for the current time if that has passed.
     void scheduleAt(Time time, std::function<void()> callback);
     /// Runs every event due up to and including the given time, and leaves the clock there.
     void runUntil(Time time);
--- a/Utilities/jujubecapacity/SharingRole.cpp
+++ b/Utilities/jujubecapacity/SharingRole.cpp
@@ -20,7 +20,8 @@
 constexpr double RequestsPerSecondPerNode = 22;
 constexpr auto Step = 250ms;
 constexpr std::size_t StepsPerSecond = 4;
-// Seconds, after all prefixes have changed, over which known preferred upstreams are counted.
+// Intervals, in seconds after all prefixes have changed, in which known preferred upstreams are
+// counted.
 constexpr std::size_t EarlySeconds[] = {3, 8};
 constexpr std::size_t LateSeconds[] = {20, 25};
 
