--- a/Utilities/jujubebench/AdmissionRun.cpp
+++ b/Utilities/jujubebench/AdmissionRun.cpp
@@ -11,7 +11,7 @@
 
 constexpr milliseconds TickInterval {100};
 constexpr milliseconds ReportLag {1};
-constexpr std::chrono::seconds AccountStretch {10};
+constexpr std::chrono::seconds AccountInterval {10};
 constexpr std::uint64_t Generation = 1;
 const Core::UpstreamGroupId &groupName()
 {
@@ -34,7 +34,7 @@
 double AdmissionSetup::capacityRate(std::size_t classIndex) const
 {
     const auto &it = classes[classIndex];
-    const double prompt = static_cast<double>(it.leastPromptTokens + it.mostPromptTokens) / 2;
+    const double prompt = static_cast<double>(it.minPromptTokens + it.maxPromptTokens) / 2;
     double rate = 0;
     for (const auto &engine : engines) {
         const double prefill = prompt / engine.prefillTokensPerSecond;
@@ -97,7 +97,8 @@
         const double millionths = m_setup.ownedShares[n] * Accounting::FullShare;
         shares.push_back({teamName(n), static_cast<std::uint64_t>(millionths)});
     }
-    Accounting::UsageLedger ledger([shares](const auto &, auto) { return shares; }, AccountStretch);
+    Accounting::UsageLedger ledger([shares](const auto &, auto) { return shares; },
+                                   AccountInterval);
     for (std::size_t n = 0; n < m_instances.size(); ++n) {
         Accounting::UsageOutbox outbox(instanceName(n), 1);
         outbox.add(m_instances[n].meter->closeInterval(Generation));
@@ -106,7 +107,7 @@
         ledger.apply(batch).value();
         ledger.apply(batch).value();
     }
-    return ledger.report(m_wallStart, m_clock.wallNow() + AccountStretch);
+    return ledger.report(m_wallStart, m_clock.wallNow() + AccountInterval);
 }
 
 Admission::Policy AdmissionRun::policy() const
@@ -156,8 +157,7 @@
     const auto &load = m_setup.classes[stream.classIndex];
     const double rate = stream.load * m_setup.capacityRate(stream.classIndex);
     std::exponential_distribution<double> gap(rate);
-    std::uniform_int_distribution<std::uint64_t> prompt(load.leastPromptTokens,
-                                                        load.mostPromptTokens);
+    std::uniform_int_distribution<std::uint64_t> prompt(load.minPromptTokens, load.maxPromptTokens);
     std::uniform_int_distribution<std::uint64_t> output(1, 2 * load.meanOutputTokens - 1);
     auto time = stream.from + toDuration(gap(m_rng));
     while (time < stream.to) {
--- a/Utilities/jujubebench/AdmissionRun.h
+++ b/Utilities/jujubebench/AdmissionRun.h
@@ -19,8 +19,8 @@
 struct ClassLoad
 {
     std::string name;
-    std::uint64_t leastPromptTokens = 1000;
-    std::uint64_t mostPromptTokens = 2000;
+    std::uint64_t minPromptTokens = 1000;
+    std::uint64_t maxPromptTokens = 2000;
     std::uint64_t meanOutputTokens = 100;
     /// Target time to first token; zero for none.
     std::chrono::milliseconds target {0};
--- a/Utilities/jujubebench/AdmissionScenario.cpp
+++ b/Utilities/jujubebench/AdmissionScenario.cpp
@@ -46,8 +46,8 @@
     ClassLoad load;
     load.name = toml::find<std::string>(table, "name");
     const auto prompt = toml::find<std::vector<std::int64_t>>(table, "prompt");
-    load.leastPromptTokens = static_cast<std::uint64_t>(prompt.at(0));
-    load.mostPromptTokens = static_cast<std::uint64_t>(prompt.at(1));
+    load.minPromptTokens = static_cast<std::uint64_t>(prompt.at(0));
+    load.maxPromptTokens = static_cast<std::uint64_t>(prompt.at(1));
     load.meanOutputTokens = static_cast<std::uint64_t>(toml::find<std::int64_t>(table, "output"));
     load.target = std::chrono::milliseconds(toml::find_or<std::int64_t>(table, "target_ms", 0));
     load.floorShare = toml::find_or<double>(table, "floor", 0.0);
@@ -100,10 +100,11 @@
 }
 
 /// Holds one finished run and computes statistics over it.
-class Measured
+class MeasuredRun
 {
 public:
-    Measured(const AdmissionSetup &setup, AdmissionMode mode, std::uint64_t seed, bool withFloods)
+    MeasuredRun(const AdmissionSetup &setup, AdmissionMode mode, std::uint64_t seed,
+                bool withFloods)
         : m_setup(setup)
         , m_run(std::make_unique<AdmissionRun>(setup, mode, seed))
     {
@@ -224,12 +225,12 @@
     /// Returns the requests that arrived after the warm-up.
     Outcomes counted() const
     {
-        Outcomes some;
+        Outcomes outcomes;
         for (const auto &it : m_run->outcomes()) {
             if (it.arrival.time_since_epoch() >= Warmup)
-                some.push_back(it);
+                outcomes.push_back(it);
         }
-        return some;
+        return outcomes;
     }
 
     AdmissionSetup m_setup;
@@ -244,7 +245,7 @@
         : m_setup(std::move(setup))
         , m_title(std::move(title))
         , m_seed(seed)
-        , m_quiet(m_setup, AdmissionMode::Ours, seed, false)
+        , m_withoutFloods(m_setup, AdmissionMode::Ours, seed, false)
         , m_direct(m_setup, AdmissionMode::Direct, seed, true)
         , m_ours(m_setup, AdmissionMode::Ours, seed, true)
     { }
@@ -255,24 +256,24 @@
                      {"policy", "class", "p50 s", "p95 s", "p99 s", "refused", "slot share",
                       "served s", "in target s"},
                      {}};
-        addRows(table, "ours, no flood", m_quiet);
+        addRows(table, "ours, no flood", m_withoutFloods);
         for (const auto &it : comparedModes()) {
             if (it.mode == AdmissionMode::Ours) {
                 addRows(table, it.name, m_ours);
                 continue;
             }
-            Measured run(m_setup, it.mode, m_seed, true);
+            MeasuredRun run(m_setup, it.mode, m_seed, true);
             addRows(table, it.name, run);
         }
         return table;
     }
 
-    void judge(const std::string &kind, std::vector<TargetRow> &rows)
+    void appendTargets(const std::string &kind, std::vector<TargetRow> &rows)
     {
         if (kind == "flood-least-urgent") {
             add(rows, "urgent p99 first token in a flood / without it",
-                m_ours.firstToken(0.99, MostUrgent) / m_quiet.firstToken(0.99, MostUrgent), 1.25,
-                BoundKind::AtMost);
+                m_ours.firstToken(0.99, MostUrgent) / m_withoutFloods.firstToken(0.99, MostUrgent),
+                1.25, BoundKind::AtMost);
             add(rows, "flooding class served / capacity left to it",
                 m_ours.served(LeastUrgent, false) / m_direct.served(LeastUrgent, false), 0.9,
                 BoundKind::AtLeast);
@@ -288,13 +289,14 @@
                 BoundKind::AtLeast);
         } else if (kind == "small-team") {
             add(rows, "small team's p95 first token beside a large one / alone",
-                m_ours.firstToken(0.95, MostUrgent, 0) / m_quiet.firstToken(0.95, MostUrgent, 0),
+                m_ours.firstToken(0.95, MostUrgent, 0)
+                    / m_withoutFloods.firstToken(0.95, MostUrgent, 0),
                 1.5, BoundKind::AtMost);
         } else if (kind == "unequal-teams") {
             add(rows, "Jain's index by entitled share", m_ours.fairness(), 0.95,
                 BoundKind::AtLeast);
         } else if (kind == "contracts") {
-            judgeContracts(rows);
+            appendContractTargets(rows);
         } else {
             throw Core::Error(Core::ErrorKind::SettingsInvalid, "unknown kind " + kind);
         }
@@ -306,7 +308,7 @@
     }
 
 private:
-    void addRows(Table &table, const std::string &name, Measured &run) const
+    void addRows(Table &table, const std::string &name, MeasuredRun &run) const
     {
         for (std::size_t n = 0; n < m_setup.classes.size(); ++n) {
             table.rows.push_back({name, m_setup.classes[n].name, fixed(run.firstToken(0.5, n), 3),
@@ -319,28 +321,28 @@
 
     /// Adds the targets of a contract. The first team sends nothing until its own stream starts;
     /// the second team borrows its capacity.
-    void judgeContracts(std::vector<TargetRow> &rows)
+    void appendContractTargets(std::vector<TargetRow> &rows)
     {
         const auto &samples = m_ours.run().teamSlots();
-        const auto back = std::find_if(m_setup.streams.begin(), m_setup.streams.end(),
-                                       [](const auto &it) { return it.team == 0; });
+        const auto returningStream = std::find_if(m_setup.streams.begin(), m_setup.streams.end(),
+                                                  [](const auto &it) { return it.team == 0; });
         const auto tickOf = [](EventQueue::Duration time) {
             return static_cast<std::size_t>(time / std::chrono::milliseconds(100));
         };
-        const double own = m_setup.ownedShares[0] * m_setup.slots();
-        const auto returned = tickOf(back->from);
+        const double ownedSlots = m_setup.ownedShares[0] * m_setup.slots();
+        const auto returnTick = tickOf(returningStream->from);
         double lent = 0;
-        for (auto n = tickOf(Warmup); n < returned; ++n)
+        for (auto n = tickOf(Warmup); n < returnTick; ++n)
             lent += samples[n][1]
                     - std::min(1.0 * samples[n][1], m_setup.ownedShares[1] * m_setup.slots());
-        lent /= static_cast<double>(returned - tickOf(Warmup));
-        add(rows, "idle capacity lent while its owner is away", lent / own, 0.9,
+        lent /= static_cast<double>(returnTick - tickOf(Warmup));
+        add(rows, "idle capacity lent while its owner is away", lent / ownedSlots, 0.9,
             BoundKind::AtLeast);
-        auto n = returned;
-        while (n < samples.size() && samples[n][0] < 0.9 * own)
+        auto n = returnTick;
+        while (n < samples.size() && samples[n][0] < 0.9 * ownedSlots)
             ++n;
         add(rows, "seconds until the owner has 90% of its own again",
-            static_cast<double>(n - returned) / 10, 5, BoundKind::AtMost);
+            static_cast<double>(n - returnTick) / 10, 5, BoundKind::AtMost);
     }
 
     void add(std::vector<TargetRow> &rows, const std::string &target, double measured, double bound,
@@ -352,9 +354,9 @@
     AdmissionSetup m_setup;
     std::string m_title;
     std::uint64_t m_seed;
-    Measured m_quiet;
-    Measured m_direct;
-    Measured m_ours;
+    MeasuredRun m_withoutFloods;
+    MeasuredRun m_direct;
+    MeasuredRun m_ours;
 };
 
 } // namespace
@@ -368,7 +370,7 @@
         AdmissionComparison comparison(readSetup(scenario, deployment, options.isQuick),
                                        name + ", " + deployment, options.seed);
         report.tables.push_back(comparison.table());
-        comparison.judge(kind, report.targets);
+        comparison.appendTargets(kind, report.targets);
     }
     return report;
 }
--- a/Utilities/jujubebench/BaselinePolicies.cpp
+++ b/Utilities/jujubebench/BaselinePolicies.cpp
@@ -118,10 +118,10 @@
 class OraclePolicy final : public Policy
 {
 public:
-    OraclePolicy(const PolicyContext &context, bool prefersHome)
+    OraclePolicy(const PolicyContext &context, bool usesAffinity)
         : m_engines(*context.engines)
         , m_rng(context.seed)
-        , m_prefersHome(prefersHome)
+        , m_usesAffinity(usesAffinity)
     { }
     std::size_t choose(std::size_t, const WorkItem &item,
                        std::span<const std::size_t> candidates) override
@@ -132,7 +132,7 @@
         for (const auto candidate : candidates) {
             const auto cost = expectedCost(item, *m_engines[candidate]);
             const auto tie =
-                m_prefersHome ? rendezvousHash(item.blocks.back(), candidate) : m_rng();
+                m_usesAffinity ? rendezvousHash(item.blocks.back(), candidate) : m_rng();
             if (cost > bestCost || (cost == bestCost && tie < bestTie))
                 continue;
             best = candidate;
@@ -152,7 +152,7 @@
         const auto load = engine.load();
         const auto cached = engine.cache().match(item.blocks);
         const auto missed = static_cast<double>((item.blocks.size() - cached) * BlockTokens);
-        const double weight = m_prefersHome ? 2 : 1;
+        const double weight = m_usesAffinity ? 2 : 1;
         double cost = (static_cast<double>(load.pendingPrefillTokens) + missed * weight)
                       / settings.prefillTokensPerSecond;
         if (load.running + load.queued >= settings.slots)
@@ -163,7 +163,7 @@
 
     const std::vector<std::unique_ptr<FakeEngine>> &m_engines;
     std::mt19937_64 m_rng;
-    bool m_prefersHome;
+    bool m_usesAffinity;
 };
 
 } // namespace
--- a/Utilities/jujubebench/EventQueue.h
+++ b/Utilities/jujubebench/EventQueue.h
@@ -40,7 +40,7 @@
         std::uint64_t sequence = 0;
         std::function<void()> callback;
     };
-    struct Later
+    struct RunsLater
     {
         bool operator()(const Event &left, const Event &right) const
         {
@@ -53,7 +53,7 @@
 
     Core::ManualClock &m_clock;
     std::uint64_t m_sequence = 0;
-    std::priority_queue<Event, std::vector<Event>, Later> m_events;
+    std::priority_queue<Event, std::vector<Event>, RunsLater> m_events;
 };
 
 } // namespace Bench
--- a/Utilities/jujubebench/OurPolicy.cpp
+++ b/Utilities/jujubebench/PlacementPolicy.cpp
@@ -1,4 +1,4 @@
-#include "OurPolicy.h"
+#include "PlacementPolicy.h"
 
 #include <LibCore/Error.h>
 #include <LibPlacement/Placement.h>
@@ -16,11 +16,11 @@
 using Placement::UpstreamSlot;
 
 /// Settings of LibPlacement and of its caller.
-struct OurSettings : PlacementSettings
+struct PlacementPolicySettings : PlacementSettings
 {
     // Several times the number of blocks that all engines cache, and still fast to search at each
     // exchange.
-    OurSettings() { prefixIndexCapacity = 8192; }
+    PlacementPolicySettings() { prefixIndexCapacity = 8192; }
     bool exchanges = true;
 };
 
@@ -28,7 +28,7 @@
 struct Variant
 {
     std::string name;
-    std::function<void(OurSettings &)> apply;
+    std::function<void(PlacementPolicySettings &)> apply;
 };
 
 const std::vector<Variant> &variants()
@@ -83,14 +83,14 @@
 };
 
 /// Numbers of prefixes sent to a starting sibling, and to a running sibling at each exchange.
-constexpr std::size_t HandedPrefixes = 2000;
+constexpr std::size_t TransferredPrefixes = 2000;
 constexpr std::size_t ExchangedPrefixes = 64;
 
 /// Calls LibPlacement as the daemon does, with one object per instance.
-class OurPolicy final : public Policy
+class PlacementPolicy final : public Policy
 {
 public:
-    OurPolicy(const PolicyContext &context, const OurSettings &settings)
+    PlacementPolicy(const PolicyContext &context, const PlacementPolicySettings &settings)
         : m_context(context)
         , m_settings(settings)
         , m_rng(context.seed)
@@ -166,19 +166,19 @@
     {
         if (!m_settings.exchanges)
             return;
-        const auto hot =
+        const auto frequentPrefixes =
             m_instances[index].placement->exportFrequentPrefixes(ExchangedPrefixes, within);
         for (const auto sibling : siblings)
-            m_instances[sibling].placement->importFrequentPrefixes(hot);
+            m_instances[sibling].placement->importFrequentPrefixes(frequentPrefixes);
     }
     void restarted(std::size_t index, std::optional<std::size_t> sibling) override
     {
         auto &instance = m_instances[index];
         start(instance);
         if (sibling) {
-            const auto hot =
-                m_instances[*sibling].placement->exportFrequentPrefixes(HandedPrefixes);
-            instance.placement->importFrequentPrefixes(hot);
+            const auto frequentPrefixes =
+                m_instances[*sibling].placement->exportFrequentPrefixes(TransferredPrefixes);
+            instance.placement->importFrequentPrefixes(frequentPrefixes);
         }
     }
 
@@ -208,34 +208,34 @@
     }
 
     PolicyContext m_context;
-    OurSettings m_settings;
+    PlacementPolicySettings m_settings;
     std::mt19937_64 m_rng;
     std::vector<Instance> m_instances;
 };
 
 } // namespace
 
-std::unique_ptr<Policy> makeOurPolicy(const std::string &name, const PolicyContext &context)
+std::unique_ptr<Policy> makePlacementPolicy(const std::string &name, const PolicyContext &context)
 {
     const auto it = std::find_if(variants().begin(), variants().end(),
                                  [&](const auto &variant) { return variant.name == name; });
     if (it == variants().end())
         return nullptr;
-    OurSettings settings;
+    PlacementPolicySettings settings;
     for (const auto &text : context.overrides)
         applyOverride(settings, text);
     it->apply(settings);
-    return std::make_unique<OurPolicy>(context, settings);
+    return std::make_unique<PlacementPolicy>(context, settings);
 }
 
 std::span<const std::string> ablationPolicies()
 {
     static const std::vector<std::string> names = [] {
-        std::vector<std::string> without;
+        std::vector<std::string> ablations;
         for (const auto &variant : variants())
-            without.push_back(variant.name);
-        without.erase(without.begin());
-        return without;
+            ablations.push_back(variant.name);
+        ablations.erase(ablations.begin());
+        return ablations;
     }();
     return names;
 }
--- a/Utilities/jujubebench/OurPolicy.h
+++ b/Utilities/jujubebench/PlacementPolicy.h
@@ -6,6 +6,6 @@
 
 /// Creates the policy that uses LibPlacement, or a variant of it with one part disabled. Returns
 /// null for any other name.
-std::unique_ptr<Policy> makeOurPolicy(const std::string &name, const PolicyContext &context);
+std::unique_ptr<Policy> makePlacementPolicy(const std::string &name, const PolicyContext &context);
 
 } // namespace Bench
--- a/Utilities/jujubebench/PlacementRun.cpp
+++ b/Utilities/jujubebench/PlacementRun.cpp
@@ -105,12 +105,12 @@
 void PlacementRun::place(std::size_t instance, const WorkItem &item)
 {
     while (true) {
-        const auto open = candidates(instance);
-        if (open.empty()) {
+        const auto available = candidates(instance);
+        if (available.empty()) {
             m_queue.schedule(RetryDelay, [this, instance, &item] { place(instance, item); });
             return;
         }
-        const auto engine = m_policy->choose(instance, item, open);
+        const auto engine = m_policy->choose(instance, item, available);
         EngineRequest request {item.id, item.blocks, item.tailTokens, item.outputTokens,
                                item.isUrgent ? 0 : 1};
         // Records the attempt before the engine can call back.
@@ -126,12 +126,12 @@
 
 std::vector<std::size_t> PlacementRun::candidates(std::size_t instance) const
 {
-    std::vector<std::size_t> open;
+    std::vector<std::size_t> available;
     for (std::size_t i = 0; i < m_engines.size(); ++i) {
         if (isReachable(instance, i) && !m_refused[instance].contains(i))
-            open.push_back(i);
+            available.push_back(i);
     }
-    return open;
+    return available;
 }
 
 bool PlacementRun::isReachable(std::size_t instance, std::size_t engine) const
--- a/Utilities/jujubebench/PlacementScenario.cpp
+++ b/Utilities/jujubebench/PlacementScenario.cpp
@@ -15,14 +15,14 @@
 using std::chrono::seconds;
 
 /// Policy whose results are compared with the targets.
-constexpr std::string_view JudgedPolicy = "placement";
+constexpr std::string_view EvaluatedPolicy = "placement";
 
 // Fixed targets of the project, independent of the measured values.
-constexpr double LeastShareOfOracle = 0.95;
-constexpr double LeastGainOverLeastLoaded = 1.3;
-constexpr double MostRecomputedBeyondOracle = 0.10;
+constexpr double MinShareOfOracle = 0.95;
+constexpr double MinGainOverLeastLoaded = 1.3;
+constexpr double MaxRecomputedBeyondOracle = 0.10;
 constexpr double SteadyShareAfterFault = 0.9;
-constexpr seconds MostRecoveryTime {5};
+constexpr seconds MaxRecoveryTime {5};
 /// Window of arrivals whose hit rate decides whether the hit rate has recovered.
 constexpr seconds RecoveryWindow {1};
 
@@ -39,9 +39,9 @@
     /// Cache size of every engine in blocks; zero keeps the deployment's value.
     std::size_t cacheBlocks = 0;
     bool hasShift = false;
-    bool isAblated = false;
-    bool judgesSteady = false;
-    bool judgesRecovery = false;
+    bool includesAblations = false;
+    bool checksSteadyTargets = false;
+    bool checksRecoveryTarget = false;
     /// Time of the shift or the faults.
     seconds eventAt {0};
     std::vector<Fault> faults;
@@ -98,9 +98,9 @@
     scenario.cacheBlocks =
         static_cast<std::size_t>(toml::find_or(file, "cachePieces", std::int64_t {0}));
     scenario.hasShift = toml::find_or(file, "hotPrefixShift", false);
-    scenario.isAblated = toml::find_or(file, "ablation", false);
-    scenario.judgesSteady = toml::find_or(file, "judgeSteady", false);
-    scenario.judgesRecovery = toml::find_or(file, "judgeRecovery", false);
+    scenario.includesAblations = toml::find_or(file, "ablation", false);
+    scenario.checksSteadyTargets = toml::find_or(file, "judgeSteady", false);
+    scenario.checksRecoveryTarget = toml::find_or(file, "judgeRecovery", false);
     if (file.contains("views")) {
         const auto &views = toml::find(file, "views");
         auto &parsed = scenario.views;
@@ -141,7 +141,7 @@
         return options.policies;
     const auto compared = comparedPolicies();
     std::vector<std::string> policies(compared.begin(), compared.end());
-    if (scenario.isAblated) {
+    if (scenario.includesAblations) {
         const auto ablated = ablationPolicies();
         policies.insert(policies.end(), ablated.begin(), ablated.end());
     }
@@ -208,36 +208,37 @@
 {
     const EventQueue::Duration from = scenario.warmUp;
     const EventQueue::Duration to = deployment.work.duration;
-    const auto *judged = findRun(runs, JudgedPolicy);
+    const auto *evaluated = findRun(runs, EvaluatedPolicy);
     const auto *oracle = findOracle(runs, from, to);
     const auto *leastLoaded = findRun(runs, "least-loaded");
-    if (judged == nullptr || oracle == nullptr || leastLoaded == nullptr)
+    if (evaluated == nullptr || oracle == nullptr || leastLoaded == nullptr)
         return;
-    const auto rate = judged->hitRate(from, to);
+    const auto rate = evaluated->hitRate(from, to);
     report.targets.push_back({"hit rate as a share of the oracle's", title,
-                              rate / oracle->hitRate(from, to), LeastShareOfOracle,
+                              rate / oracle->hitRate(from, to), MinShareOfOracle,
                               BoundKind::AtLeast});
     report.targets.push_back({"hit rate as a multiple of least-loaded's", title,
-                              rate / leastLoaded->hitRate(from, to), LeastGainOverLeastLoaded,
+                              rate / leastLoaded->hitRate(from, to), MinGainOverLeastLoaded,
                               BoundKind::AtLeast});
-    const auto beyond = static_cast<double>(judged->recomputedTokens(from, to))
-                        - static_cast<double>(oracle->recomputedTokens(from, to));
+    const auto excessTokens = static_cast<double>(evaluated->recomputedTokens(from, to))
+                              - static_cast<double>(oracle->recomputedTokens(from, to));
     report.targets.push_back({"recomputed beyond the oracle's / prompt tokens", title,
-                              beyond / static_cast<double>(judged->promptTokens(from, to)),
-                              MostRecomputedBeyondOracle, BoundKind::AtMost});
+                              excessTokens / static_cast<double>(evaluated->promptTokens(from, to)),
+                              MaxRecomputedBeyondOracle, BoundKind::AtMost});
 }
 
 void appendRecoveryTarget(ScenarioReport &report, const std::string &title,
                           const Scenario &scenario, const Deployment &deployment, const Runs &runs)
 {
-    const auto *judged = findRun(runs, JudgedPolicy);
-    if (judged == nullptr)
+    const auto *evaluated = findRun(runs, EvaluatedPolicy);
+    if (evaluated == nullptr)
         return;
-    const auto level = SteadyShareAfterFault * judged->hitRate(scenario.warmUp, scenario.eventAt);
+    const auto level =
+        SteadyShareAfterFault * evaluated->hitRate(scenario.warmUp, scenario.eventAt);
     const auto time =
-        judged->recoveryTime(scenario.eventAt, level, RecoveryWindow, deployment.work.duration);
+        evaluated->recoveryTime(scenario.eventAt, level, RecoveryWindow, deployment.work.duration);
     report.targets.push_back({"seconds until 90% of the steady hit rate", title, time.count(),
-                              static_cast<double>(MostRecoveryTime.count()), BoundKind::AtMost});
+                              static_cast<double>(MaxRecoveryTime.count()), BoundKind::AtMost});
 }
 
 /// Draws one line per second: the hit rate of the LibPlacement policy as a bar, that of
@@ -246,16 +247,16 @@
                  const Deployment &deployment, const Runs &runs)
 {
     constexpr double Width = 50;
-    const auto *judged = findRun(runs, JudgedPolicy);
+    const auto *evaluated = findRun(runs, EvaluatedPolicy);
     const auto *other = findRun(runs, "least-loaded");
-    if (judged == nullptr || other == nullptr)
+    if (evaluated == nullptr || other == nullptr)
         return;
     report.charts.push_back(title + ": hit rate a second (bar: placement, o: least-loaded)");
     const auto last =
         std::min<EventQueue::Duration>(deployment.work.duration, scenario.eventAt + seconds(10));
     for (EventQueue::Duration time = scenario.eventAt - seconds(5); time < last;
          time += seconds(1)) {
-        const auto rate = judged->hitRate(time, time + seconds(1));
+        const auto rate = evaluated->hitRate(time, time + seconds(1));
         std::string bar(static_cast<std::size_t>(Width) + 1, ' ');
         std::fill_n(bar.begin(), static_cast<std::size_t>(rate * Width), '#');
         bar[static_cast<std::size_t>(other->hitRate(time, time + seconds(1)) * Width)] = 'o';
@@ -281,9 +282,9 @@
         }
         const auto title = scenario.name + "/" + name;
         report.tables.push_back(policyTable(title, scenario, deployment, runs));
-        if (scenario.judgesSteady)
+        if (scenario.checksSteadyTargets)
             appendSteadyTargets(report, title, scenario, deployment, runs);
-        if (scenario.judgesRecovery) {
+        if (scenario.checksRecoveryTarget) {
             appendRecoveryTarget(report, title, scenario, deployment, runs);
             appendChart(report, title, scenario, deployment, runs);
         }
--- a/Utilities/jujubebench/Policy.cpp
+++ b/Utilities/jujubebench/Policy.cpp
@@ -1,7 +1,7 @@
 #include "Policy.h"
 
 #include "BaselinePolicies.h"
-#include "OurPolicy.h"
+#include "PlacementPolicy.h"
 
 #include <array>
 
@@ -9,7 +9,7 @@
 
 std::unique_ptr<Policy> makePolicy(const std::string &name, const PolicyContext &context)
 {
-    if (auto ours = makeOurPolicy(name, context))
+    if (auto ours = makePlacementPolicy(name, context))
         return ours;
     return makeBaselinePolicy(name, context);
 }
--- a/Utilities/jujubebench/PrefixCache.h
+++ b/Utilities/jujubebench/PrefixCache.h
@@ -41,7 +41,7 @@
     ChangeHook m_changeHook;
     // Most recently used first.
     std::list<std::uint64_t> m_order;
-    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_places;
+    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_positions;
 };
 
 } // namespace Bench
--- a/Utilities/jujubecapacity/AdmissionReportRole.cpp
+++ b/Utilities/jujubecapacity/AdmissionReportRole.cpp
@@ -46,7 +46,7 @@
     }
     const auto seconds = (processorTime() - before).count() / Repeats;
     return {std::to_string(Groups), std::to_string(demands), std::to_string(limitedTeams),
-            figure(static_cast<double>(bytes)), figure(seconds * 1e6)};
+            formatNumber(static_cast<double>(bytes)), formatNumber(seconds * 1e6)};
 }
 
 } // namespace
--- a/Utilities/jujubecapacity/AppendRole.cpp
+++ b/Utilities/jujubecapacity/AppendRole.cpp
@@ -36,7 +36,7 @@
         for (std::size_t n = 0; n < Partitions; ++n) {
             const auto chosen = Claims::selectClaimWriters(n, live, 1).front();
             const auto it = std::find(live.begin(), live.end(), chosen);
-            m_chosen.push_back(static_cast<std::size_t>(std::distance(live.begin(), it)));
+            m_chosenWriters.push_back(static_cast<std::size_t>(std::distance(live.begin(), it)));
         }
     }
 
@@ -55,10 +55,10 @@
         }
         const auto seconds = std::chrono::duration<double>(RunTime).count();
         const auto committed = static_cast<double>(m_committed);
-        return {figure(static_cast<double>(m_appends) / seconds),
-                figure(committed / static_cast<double>(m_appends)),
-                figure(m_waited.count() / committed * 1e3),
-                figure(1 - committed / static_cast<double>(m_claimed.size()))};
+        return {formatNumber(static_cast<double>(m_appends) / seconds),
+                formatNumber(committed / static_cast<double>(m_appends)),
+                formatNumber(m_totalWait.count() / committed * 1e3),
+                formatNumber(1 - committed / static_cast<double>(m_claimed.size()))};
     }
 
 private:
@@ -80,7 +80,7 @@
         record.attempt = {node, number};
         record.holder = {Core::InstanceId("entry-" + std::to_string(node)), 1};
         m_claimed.push_back(m_clock.now());
-        const auto writer = m_relayed ? m_chosen[partition] : node;
+        const auto writer = m_relayed ? m_chosenWriters[partition] : node;
         m_writers[writer]->enqueue(partition, std::move(record), m_clock.now());
     }
 
@@ -103,7 +103,7 @@
             m_writers[append.writer]->onResult(append.batch.id, true, now);
             const auto records = Claims::decodeBatch(append.batch.data);
             for (const auto &record : *records) {
-                m_waited += now - m_claimed[record.attempt.sequence];
+                m_totalWait += now - m_claimed[record.attempt.sequence];
                 ++m_committed;
             }
             return true;
@@ -115,12 +115,12 @@
     bool m_relayed;
     Claims::ClaimCounters m_counters;
     std::vector<std::unique_ptr<Claims::ClaimWriter>> m_writers;
-    std::vector<std::size_t> m_chosen;
+    std::vector<std::size_t> m_chosenWriters;
     std::vector<Core::Clock::Monotonic> m_claimed;
     std::vector<Append> m_running;
     std::uint64_t m_appends = 0;
     std::uint64_t m_committed = 0;
-    std::chrono::duration<double> m_waited {0};
+    std::chrono::duration<double> m_totalWait {0};
 };
 
 } // namespace
@@ -142,7 +142,7 @@
             for (const auto rate : rates) {
                 std::vector<std::string> row {std::to_string(nodes),
                                               relayed ? "one a partition" : "every node",
-                                              figure(rate)};
+                                              formatNumber(rate)};
                 for (auto &cell : AppendRun(nodes, relayed).run(rate))
                     row.push_back(std::move(cell));
                 table.rows.push_back(std::move(row));
--- a/Utilities/jujubecapacity/CacheIndexRole.cpp
+++ b/Utilities/jujubecapacity/CacheIndexRole.cpp
@@ -24,12 +24,12 @@
     return Placement::PromptBlocks::fromHashes(hashes, 300);
 }
 
-std::vector<std::string> measurePlacement(std::size_t upstreams, std::size_t beliefs)
+std::vector<std::string> measurePlacement(std::size_t upstreams, std::size_t indexCapacity)
 {
     Core::ManualClock clock;
     std::mt19937_64 rng(Seed);
     Placement::PlacementSettings settings;
-    settings.prefixIndexCapacity = beliefs;
+    settings.prefixIndexCapacity = indexCapacity;
     const auto heapBefore = heapBytes();
     const auto placement = std::make_unique<Placement::Placement>(clock, settings);
     std::vector<Placement::UpstreamSlot> slots;
@@ -47,9 +47,9 @@
         clock.advance(1ms);
     }
     const auto seconds = (processorTime() - before).count();
-    return {std::to_string(upstreams), std::to_string(beliefs),
-            figure((heapBytes() - heapBefore) / 1024 / 1024),
-            figure(seconds / static_cast<double>(Decisions) * 1e6)};
+    return {std::to_string(upstreams), std::to_string(indexCapacity),
+            formatNumber((heapBytes() - heapBefore) / 1024 / 1024),
+            formatNumber(seconds / static_cast<double>(Decisions) * 1e6)};
 }
 
 } // namespace
--- a/Utilities/jujubecapacity/ClaimRole.cpp
+++ b/Utilities/jujubecapacity/ClaimRole.cpp
@@ -41,8 +41,8 @@
         seconds += (processorTime() - before).count();
     }
     const auto count = static_cast<double>(keys);
-    return {std::to_string(keys), figure(static_cast<double>(index.memoryBytes()) / count),
-            figure(static_cast<double>(bytes) / count), figure(seconds / count * 1e6)};
+    return {std::to_string(keys), formatNumber(static_cast<double>(index.memoryBytes()) / count),
+            formatNumber(static_cast<double>(bytes) / count), formatNumber(seconds / count * 1e6)};
 }
 
 } // namespace
--- a/Utilities/jujubecapacity/ConfigurationRole.cpp
+++ b/Utilities/jujubecapacity/ConfigurationRole.cpp
@@ -45,9 +45,9 @@
     publication.digest = Core::sha256Hex(text);
     publication.change = Configuration::Splice::between(text, documentText(teams, teams / 2));
     const auto record = Configuration::encodeRecord("production", publication);
-    return {std::to_string(teams), figure(static_cast<double>(text.size()) / 1024),
-            figure(static_cast<double>(record.size())), figure(seconds * 1e3),
-            figure(heap / 1024 / 1024)};
+    return {std::to_string(teams), formatNumber(static_cast<double>(text.size()) / 1024),
+            formatNumber(static_cast<double>(record.size())), formatNumber(seconds * 1e3),
+            formatNumber(heap / 1024 / 1024)};
 }
 
 } // namespace
--- a/Utilities/jujubecapacity/MembershipRole.cpp
+++ b/Utilities/jujubecapacity/MembershipRole.cpp
@@ -12,8 +12,8 @@
 constexpr std::uint64_t Seed = 1;
 constexpr std::size_t DataCentres = 8;
 constexpr auto SteadyTime = 60s;
-constexpr auto LongestSettling = 300s;
-constexpr auto LongestDetection = 120s;
+constexpr auto MaxSettlingTime = 300s;
+constexpr auto MaxDetectionTime = 120s;
 
 struct Traffic
 {
@@ -28,10 +28,10 @@
 }
 
 /// Runs until the condition holds and returns the virtual seconds that it took.
-double runUntil(FakeFleet &fleet, std::chrono::seconds longest, const auto &condition)
+double runUntil(FakeFleet &fleet, std::chrono::seconds maxTime, const auto &condition)
 {
     const auto start = fleet.now();
-    while (fleet.now() - start < longest && !condition())
+    while (fleet.now() - start < maxTime && !condition())
         fleet.run(500ms);
     return std::chrono::duration<double>(fleet.now() - start).count();
 }
@@ -42,7 +42,7 @@
     FakeFleet fleet(Seed);
     fleet.addMany(count, DataCentres);
     fleet.listAll();
-    const auto settling = runUntil(fleet, LongestSettling, [&] { return fleet.isComplete(); });
+    const auto settling = runUntil(fleet, MaxSettlingTime, [&] { return fleet.isComplete(); });
     const auto nodes = static_cast<double>(count);
     std::vector<Traffic> before;
     for (const auto &node : fleet.nodes)
@@ -51,30 +51,30 @@
     fleet.run(SteadyTime);
     const auto processor = (processorTime() - processorBefore).count();
     double bytes = 0;
-    double most = 0;
+    double maxRate = 0;
     double messages = 0;
     const auto seconds = std::chrono::duration<double>(SteadyTime).count();
     for (std::size_t n = 0; n < count; ++n) {
         const auto after = trafficOf(fleet.nodes[n]);
         const auto rate = (after.bytes - before[n].bytes) / seconds;
         bytes += rate / nodes;
-        most = std::max(most, rate);
+        maxRate = std::max(maxRate, rate);
         messages += (after.messages - before[n].messages) / seconds / nodes;
     }
     const auto perNode = (heapBytes() - heapBefore) / nodes;
-    const auto dead = fleet.id(0);
+    const auto failedNode = fleet.id(0);
     fleet.kill(0);
     const auto detection =
-        runUntil(fleet, LongestDetection, [&] { return fleet.seenLiveBy(dead) == 0; });
+        runUntil(fleet, MaxDetectionTime, [&] { return fleet.seenLiveBy(failedNode) == 0; });
     const auto drops = fleet.count(Membership::MemberChange::Died);
     return {std::to_string(count),
-            figure(bytes),
-            figure(most),
-            figure(messages),
-            figure(processor / seconds / nodes * 1e6),
-            figure(perNode / 1024),
-            figure(settling),
-            figure(detection),
+            formatNumber(bytes),
+            formatNumber(maxRate),
+            formatNumber(messages),
+            formatNumber(processor / seconds / nodes * 1e6),
+            formatNumber(perNode / 1024),
+            formatNumber(settling),
+            formatNumber(detection),
             std::to_string(drops - std::min(drops, count - 1))};
 }
 
--- a/Utilities/jujubecapacity/PeerLinkRole.cpp
+++ b/Utilities/jujubecapacity/PeerLinkRole.cpp
@@ -78,24 +78,24 @@
     LinkBench &operator=(const LinkBench &) = delete;
 
     /// Lets every client send the given number of requests, one after the other.
-    void askAll(std::size_t times)
+    void sendRequestsFromAll(std::size_t times)
     {
-        m_left = m_clients.size();
+        m_pendingClients = m_clients.size();
         for (const auto &client : m_clients)
-            asio::co_spawn(m_context, ask(client, times), asio::detached);
+            asio::co_spawn(m_context, sendRequests(client, times), asio::detached);
         m_context.restart();
-        while (m_left > 0)
+        while (m_pendingClients > 0)
             m_context.run_one();
     }
     std::uint64_t bytes() const { return m_counters.bytesSent + m_counters.bytesReceived; }
     std::uint64_t connected() const { return m_clientCounters.connected; }
 
 private:
-    asio::awaitable<void> ask(std::shared_ptr<Peer::PeerClient> client, std::size_t times)
+    asio::awaitable<void> sendRequests(std::shared_ptr<Peer::PeerClient> client, std::size_t times)
     {
         for (std::size_t n = 0; n < times; ++n)
             co_await client->request({m_server->endpoint(), {}}, exampleProbe(), 30s);
-        --m_left;
+        --m_pendingClients;
     }
 
     asio::io_context m_context;
@@ -104,7 +104,7 @@
     Peer::PeerCounters m_clientCounters;
     std::shared_ptr<Peer::PeerServer> m_server;
     std::vector<std::shared_ptr<Peer::PeerClient>> m_clients;
-    std::size_t m_left = 0;
+    std::size_t m_pendingClients = 0;
 };
 
 std::vector<std::string> measureLinks(std::size_t count)
@@ -113,17 +113,18 @@
     const auto links = static_cast<double>(count);
     const auto heapBefore = heapBytes();
     auto before = processorTime();
-    bench.askAll(1);
+    bench.sendRequestsFromAll(1);
     const auto opening = (processorTime() - before).count() / links;
     const auto heap = (heapBytes() - heapBefore) / links / 2;
     const auto openingBytes = static_cast<double>(bench.bytes()) / links;
     before = processorTime();
-    bench.askAll(Exchanges);
+    bench.sendRequestsFromAll(Exchanges);
     const auto exchanges = links * Exchanges;
     const auto exchange = (processorTime() - before).count() / exchanges;
     const auto bytes = (static_cast<double>(bench.bytes()) - openingBytes * links) / exchanges;
-    return {std::to_string(bench.connected()), figure(heap / 1024),    figure(opening * 1e6),
-            figure(openingBytes - bytes),      figure(exchange * 1e6), figure(bytes)};
+    return {std::to_string(bench.connected()), formatNumber(heap / 1024),
+            formatNumber(opening * 1e6),       formatNumber(openingBytes - bytes),
+            formatNumber(exchange * 1e6),      formatNumber(bytes)};
 }
 
 } // namespace
--- a/Utilities/jujubecapacity/SharingRole.cpp
+++ b/Utilities/jujubecapacity/SharingRole.cpp
@@ -192,11 +192,11 @@
 std::vector<std::string> costRow(std::size_t count, const Outcome &outcome)
 {
     return {std::to_string(count),
-            figure(2 * outcome.bytesPerSecond),
-            figure(outcome.processorPerSecond * 1e6),
-            figure(outcome.itemsPerNode),
-            figure(outcome.heapPerNode / outcome.itemsPerNode),
-            figure(outcome.generationSeconds)};
+            formatNumber(2 * outcome.bytesPerSecond),
+            formatNumber(outcome.processorPerSecond * 1e6),
+            formatNumber(outcome.itemsPerNode),
+            formatNumber(outcome.heapPerNode / outcome.itemsPerNode),
+            formatNumber(outcome.generationSeconds)};
 }
 
 } // namespace
@@ -225,7 +225,8 @@
         for (std::size_t n = 0; n <= budgets.size(); ++n) {
             const auto budget = n == 0 ? 0 : budgets[n - 1];
             const auto outcome = SharingRun(count, budget).run();
-            curve.rows[n].push_back(figure(outcome.early) + " / " + figure(outcome.late));
+            curve.rows[n].push_back(formatNumber(outcome.early) + " / "
+                                    + formatNumber(outcome.late));
             if (budget == PublisherSettings {}.bytesPerSecond)
                 costs.rows.push_back(costRow(count, outcome));
         }
--- a/Utilities/jujubecapacity/Table.cpp
+++ b/Utilities/jujubecapacity/Table.cpp
@@ -26,7 +26,7 @@
     std::cout << std::endl;
 }
 
-std::string figure(double value)
+std::string formatNumber(double value)
 {
     constexpr double Thousand = 1'000;
     std::array<char, 32> buf {};
--- a/Utilities/jujubecapacity/Table.h
+++ b/Utilities/jujubecapacity/Table.h
@@ -15,4 +15,4 @@
 };
 
 /// Formats a number with three significant digits, or without a fraction from 1000 on.
-std::string figure(double value);
+std::string formatNumber(double value);
--- a/Utilities/jujubecapacity/UsageRole.cpp
+++ b/Utilities/jujubecapacity/UsageRole.cpp
@@ -47,8 +47,8 @@
     batch.records = meter->closeInterval(1);
     const auto bytes = Accounting::encode(batch).size();
     const auto closing = (processorTime() - before).count();
-    return {std::to_string(teams), figure(noting * 1e6), figure(heap / 1024),
-            figure(static_cast<double>(bytes)), figure(closing * 1e3)};
+    return {std::to_string(teams), formatNumber(noting * 1e6), formatNumber(heap / 1024),
+            formatNumber(static_cast<double>(bytes)), formatNumber(closing * 1e3)};
 }
 
 } // namespace
--- a/Utilities/jujubedecision/main.cpp
+++ b/Utilities/jujubedecision/main.cpp
@@ -119,15 +119,15 @@
     constexpr int Rounds = 10;
     constexpr int Decisions = 4000;
     Fleet fleet(workers);
-    auto least = std::chrono::nanoseconds::max();
+    auto minTime = std::chrono::nanoseconds::max();
     for (int round = 0; round < Rounds; ++round) {
         const auto start = std::chrono::steady_clock::now();
         for (int i = 0; i < Decisions; ++i)
             benchmark::DoNotOptimize(fleet.decide());
         const std::chrono::nanoseconds taken = std::chrono::steady_clock::now() - start;
-        least = std::min(least, taken / Decisions);
+        minTime = std::min(minTime, taken / Decisions);
     }
-    return least;
+    return minTime;
 }
 
 /// Prints the row of the time target and the growth ratio. Returns whether the time target is met.
@@ -154,8 +154,8 @@
     if (argc == 2 && std::string_view(argv[1]) == "--allocations")
         return reportAllocations() ? 0 : 1;
     if (argc == 2 && std::string_view(argv[1]) == "--targets") {
-        const bool isFree = reportAllocations();
-        return reportTime() && isFree ? 0 : 1;
+        const bool hasNoAllocations = reportAllocations();
+        return reportTime() && hasNoAllocations ? 0 : 1;
     }
     benchmark::Initialize(&argc, argv);
     benchmark::RunSpecifiedBenchmarks();
