--- a/Utilities/jujubebench/main.cpp
+++ b/Utilities/jujubebench/main.cpp
@@ -27,19 +27,19 @@
 int main(int argc, char **argv)
 {
     CLI::App app {
-        "Measures routing decisions on seeded work against fake engines, in virtual time"};
+        "Measures routing decisions under a seeded load on fake engines, in virtual time"};
     std::vector<std::string> files;
     Bench::RunOptions options;
     bool isJson = false;
     app.add_option("scenario", files, "Scenario files (TOML)")
         ->required()
         ->check(CLI::ExistingFile);
-    app.add_option("--seed", options.seed, "Seed of the work and of every random choice");
+    app.add_option("--seed", options.seed, "Seed of the load and of every random choice");
     app.add_option("--policy", options.policies, "Run only these policies")
         ->allow_extra_args(false);
-    app.add_option("--set", options.overrides, "Try a placement setting: name=value")
+    app.add_option("--set", options.overrides, "Override a placement setting: name=value")
         ->allow_extra_args(false);
-    app.add_flag("--json", isJson, "Print JSON in place of tables");
+    app.add_flag("--json", isJson, "Print JSON instead of tables");
     app.add_flag("--quick", options.isQuick, "Shorter runs of the same scenarios");
     CLI11_PARSE(app, argc, argv);
     try {
