--- a/Utilities/jujubebench/AdmissionRun.cpp
+++ b/Utilities/jujubebench/AdmissionRun.cpp
@@ -11,7 +11,7 @@
 
 constexpr milliseconds TickInterval {100};
 constexpr milliseconds ReportLag {1};
-constexpr std::chrono::seconds AccountStretch {10};
+constexpr std::chrono::seconds AccountInterval {10};
 constexpr std::uint64_t Generation = 1;
 const Core::UpstreamGroupId &groupName()
 {
@@ -34,7 +34,7 @@
 double AdmissionSetup::capacityRate(std::size_t classIndex) const
 {
     const auto &it = classes[classIndex];
-    const double prompt = static_cast<double>(it.leastPromptTokens + it.mostPromptTokens) / 2;
+    const double prompt = static_cast<double>(it.minPromptTokens + it.maxPromptTokens) / 2;
     double rate = 0;
     for (const auto &engine : engines) {
         const double prefill = prompt / engine.prefillTokensPerSecond;
@@ -97,16 +97,17 @@
         const double millionths = m_setup.ownedShares[n] * Accounting::FullShare;
         shares.push_back({teamName(n), static_cast<std::uint64_t>(millionths)});
     }
-    Accounting::UsageLedger ledger([shares](const auto &, auto) { return shares; }, AccountStretch);
+    Accounting::UsageLedger ledger([shares](const auto &, auto) { return shares; },
+                                   AccountInterval);
     for (std::size_t n = 0; n < m_instances.size(); ++n) {
         Accounting::UsageOutbox outbox(instanceName(n), 1);
         outbox.add(m_instances[n].meter->closeInterval(Generation));
         const auto batch = *outbox.nextBatch();
-        // Appended twice, as after a lost answer.
+        // Applies the batch twice, as happens when a lost answer leads to a second append.
         ledger.apply(batch).value();
         ledger.apply(batch).value();
     }
-    return ledger.report(m_wallStart, m_clock.wallNow() + AccountStretch);
+    return ledger.report(m_wallStart, m_clock.wallNow() + AccountInterval);
 }
 
 Admission::Policy AdmissionRun::policy() const
@@ -156,8 +157,7 @@
     const auto &load = m_setup.classes[stream.classIndex];
     const double rate = stream.load * m_setup.capacityRate(stream.classIndex);
     std::exponential_distribution<double> gap(rate);
-    std::uniform_int_distribution<std::uint64_t> prompt(load.leastPromptTokens,
-                                                        load.mostPromptTokens);
+    std::uniform_int_distribution<std::uint64_t> prompt(load.minPromptTokens, load.maxPromptTokens);
     std::uniform_int_distribution<std::uint64_t> output(1, 2 * load.meanOutputTokens - 1);
     auto time = stream.from + toDuration(gap(m_rng));
     while (time < stream.to) {
@@ -207,7 +207,7 @@
 
 std::size_t AdmissionRun::chooseEngine(int priority) const
 {
-    // Looking into the endless queues of direct runs would take most of their time.
+    // Inspecting the unbounded queues of direct runs would take most of their time.
     const bool looksAtPrefill = m_mode != AdmissionMode::Direct;
     std::size_t best = 0;
     std::tuple<bool, std::uint64_t, std::size_t> bestCost;
@@ -249,7 +249,7 @@
         return;
     const auto id = found->second;
     const auto request = m_attempts.at(id).request;
-    // Once its caller has got a token the request runs to its end.
+    // A request runs to its end once its caller has received a token.
     if (m_outcomes[request].firstToken)
         return;
     m_engines[m_attempts.at(id).engine]->cancel(id);
--- a/Utilities/jujubecapacity/AppendRole.cpp
+++ b/Utilities/jujubecapacity/AppendRole.cpp
@@ -19,7 +19,7 @@
 constexpr auto AppendTime = 5ms;
 constexpr auto RunTime = 5s;
 
-/// Claims of a whole fleet, appended by their own nodes or by one writer a partition.
+/// Appends the claims of a whole fleet, either by each node or by one writer per partition.
 class AppendRun
 {
 public:
@@ -36,11 +36,12 @@
         for (std::size_t n = 0; n < Partitions; ++n) {
             const auto chosen = Claims::selectClaimWriters(n, live, 1).front();
             const auto it = std::find(live.begin(), live.end(), chosen);
-            m_chosen.push_back(static_cast<std::size_t>(std::distance(live.begin(), it)));
+            m_chosenWriters.push_back(static_cast<std::size_t>(std::distance(live.begin(), it)));
         }
     }
 
-    /// Gives appends a second, records an append and the mean time until a claim is in the log.
+    /// Returns the appends per second, the records per append and the mean time until a claim is in
+    /// the log.
     std::vector<std::string> run(double claimsPerSecond)
     {
         const double perStep = claimsPerSecond * std::chrono::duration<double>(Step).count();
@@ -54,10 +55,10 @@
         }
         const auto seconds = std::chrono::duration<double>(RunTime).count();
         const auto committed = static_cast<double>(m_committed);
-        return {figure(static_cast<double>(m_appends) / seconds),
-                figure(committed / static_cast<double>(m_appends)),
-                figure(m_waited.count() / committed * 1e3),
-                figure(1 - committed / static_cast<double>(m_claimed.size()))};
+        return {formatNumber(static_cast<double>(m_appends) / seconds),
+                formatNumber(committed / static_cast<double>(m_appends)),
+                formatNumber(m_totalWait.count() / committed * 1e3),
+                formatNumber(1 - committed / static_cast<double>(m_claimed.size()))};
     }
 
 private:
@@ -79,7 +80,7 @@
         record.attempt = {node, number};
         record.holder = {Core::InstanceId("entry-" + std::to_string(node)), 1};
         m_claimed.push_back(m_clock.now());
-        const auto writer = m_relayed ? m_chosen[partition] : node;
+        const auto writer = m_relayed ? m_chosenWriters[partition] : node;
         m_writers[writer]->enqueue(partition, std::move(record), m_clock.now());
     }
 
@@ -102,7 +103,7 @@
             m_writers[append.writer]->onResult(append.batch.id, true, now);
             const auto records = Claims::decodeBatch(append.batch.data);
             for (const auto &record : *records) {
-                m_waited += now - m_claimed[record.attempt.sequence];
+                m_totalWait += now - m_claimed[record.attempt.sequence];
                 ++m_committed;
             }
             return true;
@@ -114,12 +115,12 @@
     bool m_relayed;
     Claims::ClaimCounters m_counters;
     std::vector<std::unique_ptr<Claims::ClaimWriter>> m_writers;
-    std::vector<std::size_t> m_chosen;
+    std::vector<std::size_t> m_chosenWriters;
     std::vector<Core::Clock::Monotonic> m_claimed;
     std::vector<Append> m_running;
     std::uint64_t m_appends = 0;
     std::uint64_t m_committed = 0;
-    std::chrono::duration<double> m_waited {0};
+    std::chrono::duration<double> m_totalWait {0};
 };
 
 } // namespace
@@ -141,7 +142,7 @@
             for (const auto rate : rates) {
                 std::vector<std::string> row {std::to_string(nodes),
                                               relayed ? "one a partition" : "every node",
-                                              figure(rate)};
+                                              formatNumber(rate)};
                 for (auto &cell : AppendRun(nodes, relayed).run(rate))
                     row.push_back(std::move(cell));
                 table.rows.push_back(std::move(row));
--- a/Utilities/jujubecapacity/ConfigurationRole.cpp
+++ b/Utilities/jujubecapacity/ConfigurationRole.cpp
@@ -11,7 +11,8 @@
 
 constexpr std::size_t Models = 19;
 
-/// A document of 19 models and so many teams, each with a contract for one of the groups.
+/// Returns a document with 19 models and the given number of teams, each with a contract for one of
+/// the groups.
 std::string documentText(std::size_t teams, std::size_t changed)
 {
     std::ostringstream out;
@@ -44,9 +45,9 @@
     publication.digest = Core::sha256Hex(text);
     publication.change = Configuration::Splice::between(text, documentText(teams, teams / 2));
     const auto record = Configuration::encodeRecord("production", publication);
-    return {std::to_string(teams), figure(static_cast<double>(text.size()) / 1024),
-            figure(static_cast<double>(record.size())), figure(seconds * 1e3),
-            figure(heap / 1024 / 1024)};
+    return {std::to_string(teams), formatNumber(static_cast<double>(text.size()) / 1024),
+            formatNumber(static_cast<double>(record.size())), formatNumber(seconds * 1e3),
+            formatNumber(heap / 1024 / 1024)};
 }
 
 } // namespace
--- a/Utilities/jujubecapacity/SharingRole.cpp
+++ b/Utilities/jujubecapacity/SharingRole.cpp
@@ -20,11 +20,12 @@
 constexpr double RequestsPerSecondPerNode = 22;
 constexpr auto Step = 250ms;
 constexpr std::size_t StepsPerSecond = 4;
-// After the prefixes have all changed: the seconds over which known homes are counted.
+// Intervals, in seconds after all prefixes have changed, in which known preferred upstreams are
+// counted.
 constexpr std::size_t EarlySeconds[] = {3, 8};
 constexpr std::size_t LateSeconds[] = {20, 25};
 
-/// Draws prefixes by a Zipf law of exponent one.
+/// Draws prefixes by a Zipf distribution with exponent one.
 class ZipfDraw
 {
 public:
@@ -62,7 +63,8 @@
     double generationSeconds = 0;
 };
 
-/// Siblings that see the same hot prefixes, each from its own requests and from the others' word.
+/// Simulates siblings that see the same frequently used prefixes, each from its own requests and
+/// from the updates of the others.
 class SharingRun
 {
 public:
@@ -142,7 +144,7 @@
 
     void deliver(Sibling &sender, const std::string &address, const Peer::Body &body)
     {
-        // The frame's length and tag come on top of the message.
+        // Adds the length field and the tag of the frame to the size of the message.
         constexpr std::size_t FrameBytes = 20;
         const auto payload = Peer::encodeMessage(Peer::Wire::Purpose::OneWay, 0, body);
         sender.bytesSent += payload.size() + FrameBytes;
@@ -190,11 +192,11 @@
 std::vector<std::string> costRow(std::size_t count, const Outcome &outcome)
 {
     return {std::to_string(count),
-            figure(2 * outcome.bytesPerSecond),
-            figure(outcome.processorPerSecond * 1e6),
-            figure(outcome.itemsPerNode),
-            figure(outcome.heapPerNode / outcome.itemsPerNode),
-            figure(outcome.generationSeconds)};
+            formatNumber(2 * outcome.bytesPerSecond),
+            formatNumber(outcome.processorPerSecond * 1e6),
+            formatNumber(outcome.itemsPerNode),
+            formatNumber(outcome.heapPerNode / outcome.itemsPerNode),
+            formatNumber(outcome.generationSeconds)};
 }
 
 } // namespace
@@ -223,7 +225,8 @@
         for (std::size_t n = 0; n <= budgets.size(); ++n) {
             const auto budget = n == 0 ? 0 : budgets[n - 1];
             const auto outcome = SharingRun(count, budget).run();
-            curve.rows[n].push_back(figure(outcome.early) + " / " + figure(outcome.late));
+            curve.rows[n].push_back(formatNumber(outcome.early) + " / "
+                                    + formatNumber(outcome.late));
             if (budget == PublisherSettings {}.bytesPerSecond)
                 costs.rows.push_back(costRow(count, outcome));
         }
