--- a/Meta/CMake/Targets.cmake
+++ b/Meta/CMake/Targets.cmake
@@ -6,8 +6,8 @@
     include(Catch)
 endif()
 
-# Compile options every target of ours shares. Third-party headers are system headers, so that
-# their warnings do not count as ours.
+# Compile options shared by all targets of this project. Third-party headers are included as system
+# headers, which suppresses their warnings.
 add_library(jujube_options INTERFACE)
 target_compile_features(jujube_options INTERFACE cxx_std_20)
 target_compile_options(jujube_options INTERFACE -Wall -Wextra -Werror -Wno-missing-field-initializers)
@@ -37,8 +37,8 @@
     target_link_libraries(${name} PRIVATE jujube_options ${ARG_LINK})
 endfunction()
 
-# jujube_tests(NAME SOURCES TestA.cpp TestB.cpp LINK LibX ...): one Catch2 program, one ctest entry
-# a test case.
+# jujube_tests(NAME SOURCES TestA.cpp TestB.cpp LINK LibX ...): one Catch2 program, with one ctest
+# entry per test case.
 function(jujube_tests name)
     cmake_parse_arguments(ARG "" "" "SOURCES;LINK" ${ARGN})
     add_executable(${name} ${ARG_SOURCES})
--- a/Meta/bench.sh
+++ b/Meta/bench.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs every scenario and the decision's own benchmark; ends with one row per target.
-# Options are passed on to jujubebench; --quick runs the short scenarios only, the same digits each
-# time. Exits with 1 while a target is missed.
+# Runs every scenario and the benchmark of the placement decision, then prints one row per target.
+# Options are passed on to jujubebench; --quick runs only the short, deterministic scenarios.
+# Exits with 1 if a target is missed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Meta/build.sh release >/dev/null
--- a/Meta/lint.sh
+++ b/Meta/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks formatting and runs the linter. Arguments name the files to lint; none means all of ours.
+# Checks formatting and runs the linter on the given files, or on all files of this project.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 if [ "$#" -gt 0 ]; then files=("$@"); else
--- a/Meta/load.sh
+++ b/Meta/load.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures the daemon as a process: what it adds to the engines' times, and how well an instance
-# places its first requests after a restart. Timing, so no part of CI. Needs a finished release
-# build. REQUESTS, TOKENS, FIRST, ROUNDS and SEED change the size of the work.
+# Measures the daemon as a process: the latency that it adds to the engines, and how well an instance
+# places its first requests after a restart. Not part of CI, because it measures times. Needs a
+# finished release build. REQUESTS, TOKENS, FIRST, ROUNDS and SEED set the workload.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . Meta/processes.sh
@@ -12,7 +12,7 @@
 seed=${SEED:-1}
 export JUJUBELOAD_KEY=example-key JUJUBELOAD_MODEL=small-model JUJUBELOAD_SEED=$seed
 export JUJUBE_PEER_KEY="a key for measurements only"
-# Set when an answer was faulty or a daemon did not end properly; the script then ends with 1.
+# Set if an answer was faulty or a daemon did not exit cleanly; the script then exits with 1.
 failed=0
 end() { # end NAME...: asks the processes to stop, and waits for them
     local name
@@ -116,7 +116,7 @@
 start platform standin-platform --port 0
 platform=$(listening platform)
 list() { curl -sf "http://$platform/control/instances" -d "$1" >/dev/null; }
-# An engine has room for 48 of the 80 pieces of the shared prefixes, so that it matters which engine a request goes to.
+# An engine can cache 48 of the 80 blocks of the shared prefixes, so the choice of the engine matters.
 site=(--prompt-bytes 34000 --shared-prefix-bytes 32000 --prefixes 32 --tokens 4)
 siteEngines=()
 for n in 1 2 3 4; do
@@ -172,7 +172,7 @@
     both
     send herd "$first" "$(port two callers)"
     show "round $round, all restarted" "$work/herd.json"
-    # What placement without any knowledge gets: the engines in turn, after as much work.
+    # Baseline without placement: round-robin over the engines, after the same amount of work.
     send warm 800 "${siteEngines[@]}"
     send turns "$first" "${siteEngines[@]}"
     show "round $round, engines in turn" "$work/turns.json"
--- a/Meta/processes.sh
+++ b/Meta/processes.sh
@@ -1,5 +1,5 @@
-# Sourced by scripts that start programs of the build. Sets `bin` and a working folder, and stops
-# what was started, by its process id, when the script ends.
+# Sourced by scripts that start programs of the build. Sets `bin` and a working directory, and stops
+# the started processes by their process ids when the script exits.
 bin=$PWD/Build/release/bin
 work=$(mktemp -d)
 declare -A pids=()
--- a/Meta/run.sh
+++ b/Meta/run.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Sets up and runs the main job: installs what is missing, builds, starts the daemon with the
-# embedded platform before a stand-in engine, sends a streaming request, shows the answer and the
-# status, and stops what it started.
+# Demonstrates the daemon: installs missing packages, builds, starts the daemon with the embedded
+# platform in front of a stand-in engine, sends a streaming request, shows the answer and the status,
+# and stops the started processes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Meta/install-packages.sh
--- a/Meta/test.sh
+++ b/Meta/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs what is missing, builds, and runs every test. Tests listed in KNOWN-RED.txt are run,
-# printed, and do not decide the verdict.
+# Installs missing packages, builds, and runs every test. Tests listed in KNOWN-RED.txt are run and
+# printed, but do not affect the result.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Meta/install-packages.sh
--- a/Tests/Processes/Documents.h
+++ b/Tests/Processes/Documents.h
@@ -5,8 +5,8 @@
 namespace Processes {
 
 /// A document with the engine group "engines" (model "model"), the service group "prints" (service
-/// "prints", orders at most once) and one team whose key is "example-key". Impatient, so that
-/// tests need not wait.
+/// "prints", orders at most once) and one team whose key is "example-key". The timeouts are short
+/// to keep the tests fast.
 inline std::string testDocument(const std::string &weightsVersion = "1")
 {
     return R"(format = 1
--- a/Tests/Processes/Process.cpp
+++ b/Tests/Processes/Process.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Far beyond what any step takes, so that only a hang is cut off.
+// Far longer than any step takes, so that only a hang reaches it.
 constexpr int SilenceLimitMs = 60'000;
 
 } // namespace
--- a/Tests/Processes/Process.h
+++ b/Tests/Processes/Process.h
@@ -9,7 +9,7 @@
 
 namespace Processes {
 
-/// One program that a test started. Killed, if it still runs, when the object ends.
+/// A program that a test started. The destructor kills it if it is still running.
 class Process
 {
 public:
@@ -19,17 +19,17 @@
     Process(Process &&other) noexcept;
     Process &operator=(Process &&) = delete;
 
-    /// Reads output until a line holds the text, and returns that line. Throws when the program
-    /// ends first or is silent for too long.
+    /// Reads output until a line contains the text, and returns that line. Throws if the program
+    /// exits first or prints nothing until the timeout.
     std::string awaitLine(const std::string &text);
-    /// The address behind "listening on", or in the daemon's event for that port.
+    /// Returns the address after "listening on", or the one in the daemon's event for that port.
     Http::Endpoint awaitEndpoint(const std::string &text);
 
     void signal(int number) const;
-    /// Kills the program at once and waits for its end.
+    /// Kills the program immediately and waits until it has exited.
     void kill();
-    /// Waits for the program's end and returns its exit code, or -1 when a signal ended it. Goes
-    /// on reading its output.
+    /// Waits until the program exits and returns its exit code, or -1 if a signal terminated it.
+    /// Keeps reading its output meanwhile.
     int wait();
     bool isRunning() const { return m_pid > 0; }
 
--- a/Tests/Processes/TestAtMostOnce.cpp
+++ b/Tests/Processes/TestAtMostOnce.cpp
@@ -30,7 +30,7 @@
     return request;
 }
 
-/// What callers were told of one key.
+/// The answers that callers received for one idempotency key.
 struct Told
 {
     int served = 0;
@@ -40,8 +40,8 @@
     int cut = 0;
 };
 
-/// Routers in two data centres before two workers, and callers that send every key to several of
-/// them.
+/// Routers in two data centres in front of two workers, and callers that send every key to several
+/// routers.
 struct OrderFleet : Fleet
 {
     OrderFleet()
@@ -103,7 +103,7 @@
         return sum;
     }
 
-    /// Sends every key from several callers at once while the faults happen.
+    /// Sends every key from several callers concurrently while faults are injected.
     void sendAllDuring(const std::function<void()> &faults)
     {
         std::vector<std::future<void>> callers;
--- a/Tests/Processes/TestConfigurationInForce.cpp
+++ b/Tests/Processes/TestConfigurationInForce.cpp
@@ -22,7 +22,7 @@
     fleet.startDaemon("router-1", "a");
     fleet.publish(testDocument(), {"router-1"});
     const auto generation = generationOf(fleet, "router-1");
-    // The list still answers when the newcomer starts; then the platform goes.
+    // The instance list is still available when the new instance starts; then the platform stops.
     auto &newcomer = fleet.startDaemon("router-2", "a");
     fleet.json(fleet.platform().address, "/control/faults", R"({"log_outage":true})");
     Fleet::await("the newcomer is ready",
@@ -58,7 +58,7 @@
     fleet.publish(testDocument("2"), {"router-1", "router-2"});
     CHECK(generationOf(fleet, "router-1") == first + 1);
     CHECK(generationOf(fleet, "router-2") == first + 1);
-    // A restarted instance starts from the log and comes to the same generation.
+    // A restarted instance replays the log and reaches the same generation.
     fleet.node("router-1").process->kill();
     fleet.startDaemon("router-1", "a");
     Fleet::await("the restarted instance has caught up",
--- a/Tests/Processes/TestPoison.cpp
+++ b/Tests/Processes/TestPoison.cpp
@@ -8,8 +8,8 @@
 {
     constexpr int Engines = 8;
     constexpr int Resends = 10;
-    // What one digest may cost the fleet (LibAdmission's crash limit), and one more for each
-    // sibling that has not yet heard of the last crash.
+    // The number of engines that one digest may crash (LibAdmission's crash limit), plus one for
+    // each sibling that has not yet received the report of the last crash.
     constexpr int CrashLimit = 3;
     constexpr int Routers = 2;
     Fleet fleet;
--- a/Tests/Processes/TestStreams.cpp
+++ b/Tests/Processes/TestStreams.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t Streams = 12;
 constexpr std::size_t Tokens = 60;
 
-/// A router before engines that take about half a second for an answer.
+/// A router in front of engines that take about half a second per answer.
 struct StreamFleet : Fleet
 {
     explicit StreamFleet(std::size_t engines, const std::string &decodeTime = "8000")
@@ -27,7 +27,7 @@
         awaitUpstreams({"router"}, engines);
     }
 
-    /// What an engine answers to the prompt when nothing fails.
+    /// Returns an engine's answer to the prompt when no fault is injected.
     std::string expected(const std::string &prompt)
     {
         auto request = completionRequest("", "model", prompt, Tokens, false);
@@ -64,7 +64,7 @@
         await(engine + " runs streams", [&] { return running(engine) > 0; });
     }
 
-    /// Waits until the router has every stream under way at an engine.
+    /// Waits until every stream of the router is in progress at an engine.
     void awaitAllRunning()
     {
         await("all streams run", [this] {
@@ -76,7 +76,7 @@
         });
     }
 
-    /// Waits until the engine has sent so many tokens that one of its streams is in its middle.
+    /// Waits until the engine has sent enough tokens that one of its streams is half complete.
     void awaitMidStream(const std::string &engine)
     {
         awaitAllRunning();
@@ -92,7 +92,7 @@
         answers.reserve(Streams);
         for (auto &body : bodies)
             answers.push_back(body.get());
-        // The streams are over, so that what was expected need not come as slowly.
+        // The streams have ended, so the expected answer may be generated at full speed.
         json(node("engine-2").address, "/control", R"({"decode_us":100})");
         for (std::size_t n = 0; n < Streams; ++n) {
             const auto &body = answers[n];
@@ -175,8 +175,8 @@
 
 TEST_CASE("a shutdown under load cuts no request, and the refusals say that nothing ran")
 {
-    // Slow enough that every stream has begun before the first one ends: one that came after the
-    // signal would rightly be refused.
+    // Slow enough that every stream has begun before the first one ends: a request that arrives
+    // after the signal is refused by design.
     StreamFleet fleet(2, "60000");
     auto bodies = fleet.startStreams();
     fleet.awaitAllRunning();
--- a/Tests/Processes/TestUsage.cpp
+++ b/Tests/Processes/TestUsage.cpp
@@ -62,6 +62,6 @@
     CHECK(totals.served + totals.idle == totals.capacity);
     CHECK(totals.served > 0);
     CHECK(usage.at("gaps").as_array().empty());
-    // Only the router that still runs has not said that it ended.
+    // Only the router that is still running has not published its shutdown.
     CHECK(usage.at("open").as_array().size() == 1);
 }
--- a/Tests/StandIns/EngineCache.h
+++ b/Tests/StandIns/EngineCache.h
@@ -10,12 +10,12 @@
 
 namespace StandIns {
 
-/// The hashes of a prompt's pieces; each covers all text before it, so that equal hashes mean equal
-/// prefixes. The salt keeps teams and weights apart.
+/// Returns the hashes of a prompt's blocks. Each covers all preceding text, so that equal hashes
+/// mean equal prefixes. The salt separates teams and weights.
 std::vector<std::uint64_t> chainPieces(std::string_view prompt, std::size_t pieceBytes,
                                        std::string_view salt);
 
-/// A prefix cache of limited size that drops what was not used for longest.
+/// A prefix cache of limited size with least-recently-used eviction.
 class EngineCache
 {
 public:
@@ -28,11 +28,11 @@
 
     explicit EngineCache(std::size_t capacity);
 
-    /// Counts the leading pieces that are cached, then stores all of them.
+    /// Returns the number of leading blocks that are cached, then stores all blocks.
     std::size_t use(const std::vector<std::uint64_t> &pieces);
     void clear();
     std::size_t size() const { return m_order.size(); }
-    /// The events from a sequence number on. Every tenth is left out, as lossy streams do.
+    /// Returns the events from a sequence number on. Omits every tenth to simulate a lossy stream.
     std::vector<Event> eventsFrom(std::uint64_t sequence) const;
 
 private:
--- a/Tests/StandIns/EngineStandIn.cpp
+++ b/Tests/StandIns/EngineStandIn.cpp
@@ -19,7 +19,7 @@
 constexpr std::chrono::milliseconds FrozenPoll {5};
 constexpr unsigned StatusConflict = 409;
 
-/// What a crashed process looks like to its callers.
+/// The error that callers of a crashed process see.
 [[noreturn]] void cutConnection()
 {
     throw boost::system::system_error(asio::error::connection_reset);
@@ -122,7 +122,7 @@
     headers.add("Content-Type", "text/event-stream");
     if (job.stream)
         co_await exchange.startStream(200, std::move(headers));
-    // A faulty engine that mixes its answers up sends another request's.
+    // Simulates an engine that mixes up answers: it sends the answer to another request.
     if (m_crossAnswers) {
         job.id = "another";
         job.text = "another prompt";
--- a/Tests/StandIns/EngineStandIn.h
+++ b/Tests/StandIns/EngineStandIn.h
@@ -13,7 +13,7 @@
 
 namespace StandIns {
 
-/// What the engine stand-in can do and how fast it is.
+/// The capabilities and the speed of the engine stand-in.
 struct EngineSettings
 {
     std::size_t slots = 8;
@@ -24,7 +24,7 @@
     std::chrono::milliseconds loadTime {200};
     std::chrono::milliseconds reportLag {50};
     std::string weightsVersion = "1";
-    /// Whether an order with an old fencing number is refused.
+    /// Whether an order with a stale fencing token is refused.
     bool checksFencing = false;
     /// A prompt that contains this text crashes the engine; empty for none.
     std::string poisonMarker;
@@ -69,7 +69,7 @@
     EngineSettings m_settings;
     EngineCache m_cache;
     std::size_t m_running = 0;
-    /// Waiting requests, the most urgent first and the oldest first among equals.
+    /// Waiting requests, ordered by priority and then by age, oldest first.
     std::multimap<long long, std::shared_ptr<boost::asio::steady_timer>> m_waiting;
     std::uint64_t m_incarnation;
     std::uint64_t m_fencing = 0;
--- a/Tests/StandIns/PlatformStandIn.h
+++ b/Tests/StandIns/PlatformStandIn.h
@@ -23,7 +23,7 @@
     boost::asio::awaitable<void> handle(Http::ServerExchange &exchange);
 
 private:
-    /// A list as it stood from a time on.
+    /// A version of the instance list and the time from which it was valid.
     struct ListVersion
     {
         Core::Clock::Monotonic since;
--- a/Tests/StandIns/ServiceMain.cpp
+++ b/Tests/StandIns/ServiceMain.cpp
@@ -8,7 +8,7 @@
 
 namespace json = boost::json;
 
-/// A plain service that counts how often each key ran.
+/// A service that counts how often each idempotency key was executed.
 class PlainService
 {
 public:
--- a/Tests/StandIns/StoreStandIn.cpp
+++ b/Tests/StandIns/StoreStandIn.cpp
@@ -89,7 +89,7 @@
 {
     const std::scoped_lock lock(m_mutex);
     auto &log = m_topics[topic];
-    // The newest of each key is kept aside as records below the first offset would be.
+    // The latest record of each key is kept separately, like records below the first offset.
     std::map<std::string, Record> kept;
     for (const auto &record : log.records)
         kept[record.key] = record;
--- a/Tests/StandIns/StoreStandIn.h
+++ b/Tests/StandIns/StoreStandIn.h
@@ -14,28 +14,28 @@
 
 namespace StandIns {
 
-/// A small stand-in of the users' platform's store: logs with one partition each, the newest record
-/// of each key, conditional appends, and faults on command.
+/// A minimal stand-in for the store of the users' platform: logs with one partition each, the
+/// latest record of each key, conditional appends, and faults on command.
 class StoreStandIn
 {
 public:
     explicit StoreStandIn(Core::IoThreads &threads);
 
-    /// Ends what is still asked.
+    /// Ends the calls that are still pending.
     ~StoreStandIn();
     StoreStandIn(const StoreStandIn &) = delete;
     StoreStandIn &operator=(const StoreStandIn &) = delete;
 
     Http::Endpoint endpoint() const { return m_server->localEndpoint(); }
 
-    /// Writes what operators and workers write. A value that is missing drops the key.
+    /// Writes a record as operators and workers do. A missing value deletes the key.
     void put(const std::string &topic, const std::string &key,
              const std::optional<std::string> &value);
-    /// Records of a topic that has no keys.
+    /// Returns the records of a topic without keys.
     std::size_t count(const std::string &topic) const;
-    /// While set, every call is answered with this status.
+    /// While this is set, every call is answered with the given status.
     void setRefusal(unsigned status);
-    /// Forgets the records before the newest of each key, as a compaction does.
+    /// Removes all records but the latest of each key, as log compaction does.
     void dropHistory(const std::string &topic);
     std::size_t calls() const;
 
@@ -57,7 +57,7 @@
     boost::asio::awaitable<void> read(Http::ServerExchange &exchange,
                                       std::map<std::string, std::string> query);
     Http::Response newest(const std::string &topic) const;
-    /// A record of an append; those of keyed topics begin with their key.
+    /// A record of an append request; records of keyed topics begin with their key.
     static Record recordOf(const std::string &topic, std::string_view bytes);
     Http::Response append(const std::map<std::string, std::string> &query, std::string_view body);
 
--- a/Tests/StandIns/WorkerStandIn.h
+++ b/Tests/StandIns/WorkerStandIn.h
@@ -13,41 +13,41 @@
 
 namespace StandIns {
 
-/// A small stand-in of a worker of the users' platform. It answers requests whole or as a stream of
-/// events, takes orders for weights, and fails as it is told.
+/// A minimal stand-in for a worker of the users' platform. It answers requests as a whole or as an
+/// event stream, accepts orders to load weights, and fails on command.
 class WorkerStandIn
 {
 public:
-    /// Answers a request instead of the worker. Returns whether it did.
+    /// Answers a request instead of the worker. Returns whether it answered.
     using Behaviour = std::function<boost::asio::awaitable<bool>(Http::ServerExchange &)>;
 
     WorkerStandIn(Core::IoThreads &threads, std::string id, std::string service);
 
-    /// Waits for the exchanges that its behaviour still serves.
+    /// Waits for the exchanges that are still in progress.
     ~WorkerStandIn();
     WorkerStandIn(const WorkerStandIn &) = delete;
     WorkerStandIn &operator=(const WorkerStandIn &) = delete;
 
     const std::string &id() const { return m_id; }
-    /// Its entry in the store's list.
+    /// Returns the worker's entry in the store's list.
     std::string entry(const std::string &state = "ready") const;
 
-    /// Puts another behaviour in front of the usual one.
+    /// Installs a handler that is tried before the default behaviour.
     void setBehaviour(Behaviour behaviour);
-    /// How many events a stream has.
+    /// Sets the number of events in a stream.
     void setEvents(int count) { m_events = count; }
 
-    /// The requests that reached it, orders and questions apart.
+    /// Returns the requests that were received, without orders and queries.
     std::vector<Http::Request> requests() const;
-    /// The requests that it ran.
+    /// Returns the requests that were executed.
     std::size_t runs() const { return m_runs; }
-    /// The bodies of the orders that it accepted.
+    /// Returns the bodies of the accepted orders.
     std::vector<std::string> orders() const;
     std::uint64_t weights() const { return m_weights; }
-    /// How long an order takes.
+    /// Sets the duration of an order.
     void setOrderTime(std::chrono::milliseconds time) { m_orderTime = time; }
 
-    /// The headers of an answer to the request, with its seal.
+    /// Returns the headers of an answer to the request, including its seal.
     static Http::Headers answerHeaders(const Http::Request &request);
 
 private:
--- a/Tests/jujubectl/TestCommands.cpp
+++ b/Tests/jujubectl/TestCommands.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-/// Entry instances on numbered ports of the local address.
+/// Returns entry instances on consecutive ports of the loopback address.
 class FakeDirectory final : public Platform::InstanceDirectory
 {
 public:
@@ -39,8 +39,8 @@
     Platform::InstanceList entries;
 };
 
-/// Answers by port and path; a port without answers is unreachable. Each answer but the last is
-/// given once.
+/// Prepared answers by port and path; a port without answers is unreachable. Each answer is given
+/// once, except for the last, which is repeated.
 class FakeAdmin final : public Jujubectl::AdminClient
 {
 public:
@@ -95,7 +95,7 @@
     }
     ExitCode publish(const std::string &document)
     {
-        // Cases run side by side as processes in one folder.
+        // Test cases run concurrently, as processes that share one directory.
         const auto path = "jujubectl-test-" + std::to_string(::getpid()) + ".toml";
         std::ofstream(path, std::ios::binary) << document;
         settings.file = path;
--- a/Utilities/jujubectl/AdminClient.h
+++ b/Utilities/jujubectl/AdminClient.h
@@ -9,8 +9,8 @@
 
 namespace Jujubectl {
 
-/// Calls the admin ports of instances. Every call throws Core::Error when no answer came or the
-/// instance refused; the detail says why.
+/// Calls the admin ports of instances. Every call throws Core::Error if the instance does not
+/// answer or refuses the call; the detail contains the reason.
 class AdminClient
 {
 public:
--- a/Utilities/jujubectl/CommandLine.cpp
+++ b/Utilities/jujubectl/CommandLine.cpp
@@ -11,7 +11,7 @@
 constexpr unsigned DefaultTimeoutMs = 30'000;
 constexpr const char *ProductionEnvironment = "production";
 
-/// The settings as they were written, before the check.
+/// The settings as given, before validation.
 struct RawSettings
 {
     Settings settings;
--- a/Utilities/jujubectl/CommandLine.h
+++ b/Utilities/jujubectl/CommandLine.h
@@ -6,14 +6,14 @@
 
 namespace Jujubectl {
 
-/// What the command line asks for: a command, or an end at once (help, version, a fault).
+/// The parsed command line: a command to run, or an exit code (after help, version or an error).
 struct CommandLine
 {
     std::optional<Settings> settings;
     int exitCode = 0;
 };
 
-/// Reads flags and environment variables. Prints help and faults itself.
+/// Parses flags and environment variables. Prints help and errors itself.
 CommandLine parseCommandLine(int argc, const char *const *argv);
 
 } // namespace Jujubectl
--- a/Utilities/jujubectl/Commands.h
+++ b/Utilities/jujubectl/Commands.h
@@ -5,7 +5,7 @@
 
 namespace Jujubectl {
 
-/// Runs the command of the settings. An error becomes a message and its exit code.
+/// Runs the command that the settings name. Reports an error as a message and an exit code.
 boost::asio::awaitable<ExitCode> runCommand(Context &context);
 
 } // namespace Jujubectl
--- a/Utilities/jujubectl/ConfigCheck.h
+++ b/Utilities/jujubectl/ConfigCheck.h
@@ -5,7 +5,7 @@
 
 namespace Jujubectl {
 
-/// Names every fault of a document.
+/// Prints every error in a document.
 boost::asio::awaitable<ExitCode> configCheck(Context &context);
 
 } // namespace Jujubectl
--- a/Utilities/jujubectl/ConfigPromote.cpp
+++ b/Utilities/jujubectl/ConfigPromote.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// The version that an environment has accepted with the digest, or its newest one for an empty
-/// digest. Throws ConfigurationNotAccepted when there is none.
+/// Returns the version with the given digest that an environment has accepted, or its latest
+/// version if the digest is empty. Throws ConfigurationNotAccepted if there is none.
 asio::awaitable<Configuration::ConfigurationVersionPointer>
 acceptedVersion(Context &context, std::string environment, std::string digest)
 {
--- a/Utilities/jujubectl/ConfigPublish.h
+++ b/Utilities/jujubectl/ConfigPublish.h
@@ -5,7 +5,7 @@
 
 namespace Jujubectl {
 
-/// Offers a document to the environment and reports the log's verdict.
+/// Publishes a document to the environment and reports whether the log accepted it.
 boost::asio::awaitable<ExitCode> configPublish(Context &context);
 
 } // namespace Jujubectl
--- a/Utilities/jujubectl/ConfigRestart.h
+++ b/Utilities/jujubectl/ConfigRestart.h
@@ -5,8 +5,8 @@
 
 namespace Jujubectl {
 
-/// Starts a stream over whose records no longer lead to a document. Refused for a generation that
-/// is not above what every reachable instance has in force.
+/// Restarts a configuration stream whose records no longer yield a document. Refuses a generation
+/// that is not above the one in force on every reachable instance.
 boost::asio::awaitable<ExitCode> configRestart(Context &context);
 
 } // namespace Jujubectl
--- a/Utilities/jujubectl/ConfigWatch.cpp
+++ b/Utilities/jujubectl/ConfigWatch.cpp
@@ -16,11 +16,11 @@
 
 constexpr std::chrono::milliseconds PollInterval {500};
 
-/// How far a generation has come.
+/// The rollout progress of a generation.
 struct Progress
 {
     std::size_t inForce = 0;
-    /// The live instances that run something older, or do not answer.
+    /// The live instances that run an older generation or do not answer.
     std::vector<std::string> missing;
 
     bool isComplete() const { return inForce > 0 && missing.empty(); }
@@ -60,7 +60,7 @@
     co_return history.current()->generation;
 }
 
-/// The progress now; a platform that does not list the instances leaves it empty.
+/// Returns the current progress; empty if the platform does not list the instances.
 asio::awaitable<Progress> poll(Context &context, Generation generation)
 {
     std::vector<TargetStatus> statuses;
--- a/Utilities/jujubectl/Context.h
+++ b/Utilities/jujubectl/Context.h
@@ -17,7 +17,7 @@
 
 namespace Jujubectl {
 
-/// What a command works with. The platform is null for commands that need none.
+/// The dependencies of a command. The platform is null for commands that need none.
 struct Context
 {
     const Settings &settings;
@@ -26,12 +26,12 @@
     AdminClient &admin;
     const Core::Clock &clock;
     std::mt19937_64 &random;
-    /// Results.
+    /// Receives results.
     std::ostream &out;
-    /// Progress and faults.
+    /// Receives progress and errors.
     std::ostream &err;
 
-    /// A publisher that tries for the time of --timeout-ms.
+    /// Returns a publisher that retries until --timeout-ms has passed.
     Configuration::Publisher publisher() const;
 };
 
@@ -44,11 +44,11 @@
     bool isLeaving = false;
 };
 
-/// The port of --admin alone, or every entry instance of the platform's list.
+/// Returns only the port of --admin if given, else every entry instance of the platform's list.
 boost::asio::awaitable<std::vector<AdminTarget>> adminTargets(Context &context);
 
-/// One target: the named instance, or the first live one for an empty name. Throws
-/// Error(NoUpstream) when there is none.
+/// Returns the named instance, or the first live one if the name is empty. Throws
+/// Error(NoUpstream) if there is none.
 boost::asio::awaitable<AdminTarget> adminTarget(Context &context, std::string name);
 
 } // namespace Jujubectl
--- a/Utilities/jujubectl/Drain.h
+++ b/Utilities/jujubectl/Drain.h
@@ -5,7 +5,7 @@
 
 namespace Jujubectl {
 
-/// Lets one instance take no new work.
+/// Drains an instance: it accepts no new requests.
 boost::asio::awaitable<ExitCode> drain(Context &context);
 
 } // namespace Jujubectl
--- a/Utilities/jujubectl/ExitCode.h
+++ b/Utilities/jujubectl/ExitCode.h
@@ -2,7 +2,7 @@
 
 namespace Jujubectl {
 
-/// What the program returns to the shell; docs/jujubectl.md explains each.
+/// The exit codes of the program; docs/jujubectl.md explains each.
 enum class ExitCode : int {
     Success = 0,
     Failure = 1,
--- a/Utilities/jujubectl/Explain.cpp
+++ b/Utilities/jujubectl/Explain.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// One column a term, in the order in which the instance names them.
+/// Returns one column per term, in the order in which the instance lists them.
 Table tableOf(const json::array &candidates)
 {
     std::vector<std::string> names;
--- a/Utilities/jujubectl/Explain.h
+++ b/Utilities/jujubectl/Explain.h
@@ -5,7 +5,7 @@
 
 namespace Jujubectl {
 
-/// Shows which upstream a request would go to, with the terms of the choice.
+/// Shows which upstream a request would be placed on, with the terms of its score.
 boost::asio::awaitable<ExitCode> explain(Context &context);
 
 } // namespace Jujubectl
--- a/Utilities/jujubectl/HttpAdminClient.h
+++ b/Utilities/jujubectl/HttpAdminClient.h
@@ -12,7 +12,7 @@
 class HttpAdminClient final : public AdminClient
 {
 public:
-    /// The limit holds for each call.
+    /// The time limit applies to each call separately.
     explicit HttpAdminClient(std::chrono::milliseconds limit);
 
     boost::asio::awaitable<boost::json::value> get(Http::Endpoint admin, std::string path) override;
--- a/Utilities/jujubectl/InputFile.h
+++ b/Utilities/jujubectl/InputFile.h
@@ -4,8 +4,8 @@
 
 namespace Jujubectl {
 
-/// The bytes of a file, or of standard input for "-". Throws Error(SettingsInvalid) when it cannot
-/// be read.
+/// Returns the contents of a file, or of standard input for "-". Throws Error(SettingsInvalid) if
+/// it cannot be read.
 std::string readInput(const std::string &path);
 
 } // namespace Jujubectl
--- a/Utilities/jujubectl/InstanceStatus.h
+++ b/Utilities/jujubectl/InstanceStatus.h
@@ -12,7 +12,7 @@
 
 namespace Jujubectl {
 
-/// One upstream as an instance sees it.
+/// The state of an upstream as an instance reports it.
 struct UpstreamStatus
 {
     std::string id;
@@ -23,7 +23,7 @@
     bool isSuspected = false;
 };
 
-/// What an instance says of itself at GET /status.
+/// The status that an instance reports at GET /status.
 struct InstanceStatus
 {
     std::string instance;
@@ -33,14 +33,14 @@
     bool isReady = false;
     bool isDraining = false;
     std::vector<UpstreamStatus> upstreams;
-    /// The answer as it came.
+    /// The unparsed answer.
     boost::json::value raw;
 };
 
-/// Reads the answer of GET /status. A field that is absent keeps its default.
+/// Parses the answer to GET /status. An absent field keeps its default.
 InstanceStatus parseInstanceStatus(boost::json::value answer);
 
-/// A target and its status, or why there is none.
+/// A target and its status, or the error that prevented reading it.
 struct TargetStatus
 {
     AdminTarget target;
@@ -49,7 +49,7 @@
     std::string fault;
 };
 
-/// Asks every target in turn.
+/// Queries all targets one after the other.
 boost::asio::awaitable<std::vector<TargetStatus>> fetchStatuses(Context &context);
 
 } // namespace Jujubectl
--- a/Utilities/jujubectl/PublishReport.h
+++ b/Utilities/jujubectl/PublishReport.h
@@ -6,10 +6,10 @@
 
 namespace Jujubectl {
 
-/// Prints the outcome of a publication and gives its exit code.
+/// Prints the outcome of a publication and returns its exit code.
 ExitCode reportOutcome(Context &context, const Configuration::PublishOutcome &outcome);
 
-/// The name to publish under: --publisher, or the environment variable USER.
+/// Returns the name to publish under: --publisher, or the environment variable USER.
 std::string publisherName(const Settings &settings);
 
 } // namespace Jujubectl
--- a/Utilities/jujubectl/Settings.h
+++ b/Utilities/jujubectl/Settings.h
@@ -24,13 +24,13 @@
     Trace,
 };
 
-/// The command line, checked.
+/// The validated settings of the command line.
 struct Settings
 {
     CommandKind command = CommandKind::Status;
     /// Unset for commands that need no platform.
     std::optional<Http::Endpoint> platform;
-    /// One instance's admin port, to use in place of the platform's list.
+    /// The admin port of a single instance, used instead of the platform's instance list.
     std::optional<Http::Endpoint> admin;
     std::string environment;
     bool json = false;
@@ -45,7 +45,7 @@
     std::string promoteTo;
     std::string digest;
     std::string instance;
-    /// The attempt id to trace, and the logs to look in; "-" for standard input.
+    /// The attempt id to trace, and the logs to search; "-" for standard input.
     std::string request;
     std::vector<std::string> files;
 };
--- a/Utilities/jujubectl/Table.h
+++ b/Utilities/jujubectl/Table.h
@@ -6,7 +6,7 @@
 
 namespace Jujubectl {
 
-/// Rows of text in columns as wide as their longest cell.
+/// A text table whose columns are as wide as their longest cell.
 class Table
 {
 public:
--- a/Utilities/jujubectl/Trace.cpp
+++ b/Utilities/jujubectl/Trace.cpp
@@ -20,16 +20,16 @@
 
 using Time = std::chrono::sys_time<std::chrono::milliseconds>;
 
-// What was learnt of an upstream this long before the request may be why it went as it did.
+// Events about an upstream within this time before the request may explain its outcome.
 constexpr std::chrono::milliseconds Before = 2s;
-// The hundred of events about upstreams (docs/EVENTS.md).
+// The range of a hundred event numbers for upstreams (docs/EVENTS.md).
 constexpr std::int64_t FirstUpstreamEvent = 300;
 constexpr std::int64_t LastUpstreamEvent = 399;
 
 struct Line
 {
     Time time;
-    /// The instance, as the text before the line or the file's name gives it.
+    /// The instance, taken from the text before the log line or from the file name.
     std::string source;
     boost::json::object fields;
 };
@@ -56,7 +56,7 @@
            + std::chrono::duration_cast<std::chrono::milliseconds>(part);
 }
 
-/// Reads one line of a log; nothing when it is none, as with what other programs print between.
+/// Parses a log line. Returns nothing for other text, such as the output of other programs.
 std::optional<Line> readLine(const std::string &text, const std::string &file)
 {
     const auto begin = text.find('{');
@@ -72,7 +72,7 @@
     if (!time)
         return std::nullopt;
     line.time = *time;
-    // A collector puts the instance's name before the line, as the last word there.
+    // Log collectors put a prefix before the line, whose last word is the instance's name.
     std::istringstream words(text.substr(0, begin));
     for (std::string word; words >> word;)
         line.source = word;
--- a/Utilities/jujubectl/Trace.h
+++ b/Utilities/jujubectl/Trace.h
@@ -5,8 +5,8 @@
 
 namespace Jujubectl {
 
-/// Prints what the logs of several instances tell of one request, in the order of time: its own
-/// lines, and what was learnt meanwhile of the upstreams that it went to.
+/// Prints the log lines of several instances about one request in chronological order: the
+/// request's own lines, and concurrent events about the upstreams that it was sent to.
 boost::asio::awaitable<ExitCode> trace(Context &context);
 
 } // namespace Jujubectl
--- a/Utilities/jujubectl/Usage.h
+++ b/Utilities/jujubectl/Usage.h
@@ -5,7 +5,7 @@
 
 namespace Jujubectl {
 
-/// Shows whose capacity served whom, and whose stood idle.
+/// Shows which teams' capacity served which teams, and how much was idle.
 boost::asio::awaitable<ExitCode> usage(Context &context);
 
 } // namespace Jujubectl
--- a/Utilities/jujubectl/main.cpp
+++ b/Utilities/jujubectl/main.cpp
@@ -16,7 +16,7 @@
 
 using namespace Jujubectl;
 
-/// No single call takes longer, so that a silent instance does not use up the whole time.
+/// Limits each call, so that an unresponsive instance does not use up the whole timeout.
 constexpr std::chrono::milliseconds LongestCall {2'000};
 
 int run(const Settings &settings)
--- a/Utilities/jujubeload/AnswerBook.h
+++ b/Utilities/jujubeload/AnswerBook.h
@@ -7,16 +7,16 @@
 
 namespace Load {
 
-/// Remembers which text each prompt was answered with. Safe from any thread.
+/// Records the text of the answer to each prompt. Thread-safe.
 class AnswerBook
 {
 public:
-    /// Whether the text equals that of every earlier answer to the prompt.
+    /// Records an answer. Returns whether its text equals every earlier answer to the prompt.
     bool note(std::string_view prompt, std::string_view text);
-    /// How many different prompts were answered.
+    /// Returns the number of distinct prompts that were answered.
     std::size_t prompts() const;
-    /// One number for all prompts and their texts, whatever order they came in: equal for two runs
-    /// of the same work exactly when their answers are equal.
+    /// Returns a hash over all prompts and answers that is independent of their order: equal for
+    /// two runs of the same workload exactly if their answers are equal.
     std::uint64_t digest() const;
 
 private:
--- a/Utilities/jujubeload/CommandLine.cpp
+++ b/Utilities/jujubeload/CommandLine.cpp
@@ -10,7 +10,7 @@
 constexpr std::uint64_t DefaultRequests = 1'000;
 constexpr double MillisecondsPerSecond = 1'000;
 
-/// The settings as they were written, before the check.
+/// The settings as given, before validation.
 struct RawSettings
 {
     Settings settings;
--- a/Utilities/jujubeload/CommandLine.h
+++ b/Utilities/jujubeload/CommandLine.h
@@ -8,8 +8,8 @@
 
 namespace Load {
 
-/// Reads flags and environment variables (JUJUBELOAD_...). Nothing when the program has only to
-/// exit, as after --help. Fails with SettingsInvalid.
+/// Parses flags and environment variables (JUJUBELOAD_...). Returns nothing if the program only has
+/// to exit, for example after --help. Throws SettingsInvalid.
 Core::Result<std::optional<Settings>> parseCommandLine(int argc, const char *const *argv);
 
 } // namespace Load
--- a/Utilities/jujubeload/LatencySeries.h
+++ b/Utilities/jujubeload/LatencySeries.h
@@ -9,8 +9,8 @@
 
 namespace Load {
 
-/// Times in buckets that grow by about one percent, from 1 microsecond to 1,000 s. Not safe from
-/// several threads.
+/// A histogram of times from 1 microsecond to 1,000 s, whose bucket widths grow by about one
+/// percent. Not thread-safe.
 class LatencySeries
 {
 public:
@@ -18,8 +18,8 @@
 
     void observe(std::chrono::nanoseconds time);
     std::uint64_t count() const { return m_count; }
-    /// The upper bound of the bucket that holds the share's quantile, so at most about one percent
-    /// above it; zero when nothing was observed.
+    /// Returns the upper bound of the bucket that contains the quantile, which is at most about one
+    /// percent above it; zero if nothing was observed.
     std::chrono::duration<double> quantile(double share) const;
 
 private:
--- a/Utilities/jujubeload/LoadRun.cpp
+++ b/Utilities/jujubeload/LoadRun.cpp
@@ -23,7 +23,7 @@
 constexpr std::chrono::milliseconds EndPoll {5};
 constexpr std::size_t RefusalLimitBytes = 64 * 1024;
 
-/// The name of a refusal: its HTTP status and, where the body says, its kind.
+/// Returns the name of a refusal: its HTTP status and, if the body contains one, its error kind.
 std::string refusalName(unsigned status, const std::string &body)
 {
     auto name = "http-" + std::to_string(status);
--- a/Utilities/jujubeload/LoadRun.h
+++ b/Utilities/jujubeload/LoadRun.h
@@ -14,14 +14,14 @@
 
 namespace Load {
 
-/// Sends the work of the settings, closed-loop or open-loop, and checks the answers.
+/// Sends the configured workload, closed-loop or open-loop, and checks the answers.
 class LoadRun
 {
 public:
     /// The clock must outlive the run.
     LoadRun(const Settings &settings, const Core::Clock &clock);
 
-    /// Runs to the end; to be called once.
+    /// Runs the workload to its end. May be called only once.
     RunReport run();
 
 private:
@@ -40,13 +40,13 @@
     void judge(AnswerFault fault, const std::string &prompt, const std::string &text,
                RequestOutcome &outcome);
     Http::Request requestFor(const std::string &prompt) const;
-    /// Whether the request of that number, counted from zero, is still to be sent.
+    /// Returns whether the request with the given zero-based index is still to be sent.
     bool isWanted(std::uint64_t number) const;
 
     Settings m_settings;
     const Core::Clock &m_clock;
     Workload m_workload;
-    /// Before the client, whose idle connections stand on the threads' contexts.
+    /// Declared before the client, whose idle connections use the threads' I/O contexts.
     Core::IoThreads m_threads;
     Http::Client m_client;
     AnswerBook m_book;
--- a/Utilities/jujubeload/RunRecord.h
+++ b/Utilities/jujubeload/RunRecord.h
@@ -11,21 +11,21 @@
 
 namespace Load {
 
-/// What was seen of one request.
+/// The measured outcome of one request.
 struct RequestOutcome
 {
-    /// Empty for a whole and right answer; else the kind of error.
+    /// Empty for a complete and correct answer; otherwise the kind of error.
     std::string error;
-    /// From when the request was due to its first text.
+    /// Time from the scheduled start of the request to the first text of its answer.
     std::chrono::nanoseconds firstToken {0};
-    /// From when the request was due to the end of its answer.
+    /// Time from the scheduled start of the request to the end of its answer.
     std::chrono::nanoseconds whole {0};
     /// Times between chunks with text.
     std::vector<std::chrono::nanoseconds> gaps;
     AnswerUsage usage;
 };
 
-/// The sums of a run. Only whole and right answers count for times and tokens.
+/// The totals of a run. Times and tokens include only complete and correct answers.
 struct RunTotals
 {
     std::uint64_t answered = 0;
@@ -35,11 +35,11 @@
     LatencySeries betweenTokens;
     LatencySeries whole;
 
-    /// Cached share of the prompt tokens; zero without prompt tokens.
+    /// Returns the cached share of the prompt tokens; zero without prompt tokens.
     double cachedShare() const;
 };
 
-/// Gathers outcomes. Safe from any thread.
+/// Collects outcomes. Thread-safe.
 class RunRecord
 {
 public:
--- a/Utilities/jujubeload/RunReport.cpp
+++ b/Utilities/jujubeload/RunReport.cpp
@@ -43,7 +43,7 @@
         << quantileMs(series, Percentile99) << " ms\n";
 }
 
-/// The digest as text, because JSON numbers lose the last of 64 bits.
+/// Formats the digest as text, because JSON numbers cannot represent all 64 bits exactly.
 std::string digestText(std::uint64_t digest)
 {
     std::ostringstream out;
--- a/Utilities/jujubeload/RunReport.h
+++ b/Utilities/jujubeload/RunReport.h
@@ -7,23 +7,23 @@
 
 namespace Load {
 
-/// What a run found.
+/// The results of a run.
 struct RunReport
 {
     RunTotals totals;
-    /// From the first request's start to the last answer's end.
+    /// Time from the start of the first request to the end of the last answer.
     std::chrono::duration<double> elapsed {0};
-    /// Different prompts answered, and AnswerBook::digest() of them.
+    /// Number of distinct answered prompts, and the AnswerBook::digest() of their answers.
     std::size_t prompts = 0;
     std::uint64_t answersDigest = 0;
 
-    /// Whether every request was answered, whole and right.
+    /// Whether every request got a complete and correct answer.
     bool isClean() const { return totals.errors.empty(); }
 };
 
-/// Lines for people.
+/// Prints a human-readable report.
 std::string formatText(const RunReport &report);
-/// One JSON object for scripts; times in milliseconds.
+/// Prints one JSON object for scripts; times are in milliseconds.
 std::string formatJson(const RunReport &report);
 
 } // namespace Load
--- a/Utilities/jujubeload/Settings.h
+++ b/Utilities/jujubeload/Settings.h
@@ -11,37 +11,37 @@
 
 namespace Load {
 
-/// The shape of the seeded prompts.
+/// The parameters of the seeded prompts.
 struct WorkloadSettings
 {
     std::uint64_t seed = 1;
-    /// Length of a whole prompt.
+    /// Total length of a prompt.
     std::size_t promptBytes = 4'000;
-    /// Length of what prompts of one prefix have in common; at most promptBytes.
+    /// Length of the prefix that prompts share; at most promptBytes.
     std::size_t sharedPrefixBytes = 2'000;
-    /// How many prefixes there are.
+    /// Number of different prefixes.
     std::size_t prefixes = 16;
 };
 
-/// The command line, checked.
+/// The validated settings of the command line.
 struct Settings
 {
-    /// Requests go to these in turn.
+    /// Requests are sent to these round-robin.
     std::vector<Http::Endpoint> targets;
     std::string key;
     std::string model;
     WorkloadSettings workload;
-    /// Closed loop: how many requests are under way at any time.
+    /// Closed loop: number of concurrent requests.
     std::size_t connections = 8;
-    /// Open loop: mean arrivals a second, whatever the answers do. Unset for the closed loop.
+    /// Open loop: mean arrivals per second, independent of the answers. Unset for a closed loop.
     std::optional<double> arrivalRate;
-    /// Ends the run after this many requests, where set.
+    /// If set, the run ends after this number of requests.
     std::optional<std::uint64_t> requests;
-    /// Starts no request after this time, where set.
+    /// If set, no request is started after this time.
     std::optional<std::chrono::milliseconds> time;
-    /// Requests of the seeded work to pass over.
+    /// Number of requests to skip at the start of the seeded workload.
     std::uint64_t skip = 0;
-    /// max_tokens of every request.
+    /// The max_tokens field of every request.
     std::size_t tokens = 32;
     bool stream = true;
     std::size_t threads = 2;
--- a/Utilities/jujubeload/StreamedAnswer.cpp
+++ b/Utilities/jujubeload/StreamedAnswer.cpp
@@ -33,7 +33,7 @@
     return counts;
 }
 
-/// The text of the first choice, or nothing when there is no such choice.
+/// Returns the text of the first choice, or nothing if there is none.
 std::optional<std::string> textOf(const json::object &answer)
 {
     const auto *choices = answer.if_contains("choices");
@@ -123,7 +123,7 @@
         m_usage = usageOf(*usage);
     const auto text = textOf(chunk);
     if (!text) {
-        // A chunk with only the usage has no choice.
+        // A chunk that contains only the usage has no choices.
         if (usage == nullptr)
             note(AnswerFault::Malformed);
         return false;
--- a/Utilities/jujubeload/StreamedAnswer.h
+++ b/Utilities/jujubeload/StreamedAnswer.h
@@ -10,22 +10,22 @@
 
 namespace Load {
 
-/// What was wrong with an answer that came to its proper end.
+/// The fault in an answer whose body was received completely.
 enum class AnswerFault {
     None,
     /// An event of the kind "error", or a chunk that carries one.
     ErrorEvent,
     /// A chunk that is not JSON, or without choices.
     Malformed,
-    /// No end mark, bytes of an unfinished event, or no text.
+    /// No end marker, an incomplete event at the end, or no text.
     Incomplete,
-    /// Events after the end mark.
+    /// Events after the end marker.
     AfterEnd,
-    /// Another text than an earlier answer to an equal prompt.
+    /// A text that differs from an earlier answer to the same prompt.
     DifferentText,
 };
 
-/// The fault's name in reports.
+/// Returns the fault's name in reports.
 std::string_view faultName(AnswerFault fault);
 
 /// Token counts of an answer's usage object.
@@ -36,14 +36,14 @@
     std::uint64_t completionTokens = 0;
 };
 
-/// Puts a streamed answer together and checks that it is whole.
+/// Assembles a streamed answer and checks that it is complete.
 class StreamedAnswer
 {
 public:
-    /// Takes the next bytes. Returns how many chunks with text they complete. Throws as
+    /// Parses the next bytes. Returns the number of chunks with text that they complete. Throws as
     /// Http::EventStreamParser does.
     std::size_t feed(std::string_view bytes);
-    /// The verdict once the body has ended; the first fault seen counts.
+    /// Returns the result after the end of the body: the first fault that was found, if any.
     AnswerFault finish() const;
 
     const std::string &text() const { return m_text; }
@@ -61,7 +61,7 @@
     bool m_ended = false;
 };
 
-/// A whole, not streamed, answer.
+/// An answer that was not streamed.
 struct WholeAnswer
 {
     AnswerFault fault = AnswerFault::None;
@@ -69,7 +69,7 @@
     AnswerUsage usage;
 };
 
-/// Reads the body of a whole answer.
+/// Parses the body of an answer that was not streamed.
 WholeAnswer parseWholeAnswer(std::string_view body);
 
 } // namespace Load
--- a/Utilities/jujubeload/Workload.cpp
+++ b/Utilities/jujubeload/Workload.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Words of random letters, exactly as many bytes as asked for.
+/// Returns words of random letters with exactly the given total number of bytes.
 std::string textOf(std::size_t bytes, std::mt19937_64 &random)
 {
     constexpr std::size_t LettersPerDraw = 12;
@@ -27,7 +27,7 @@
     return text;
 }
 
-/// A generator for one numbered part of the work.
+/// Returns a random number generator for one numbered part of the workload.
 std::mt19937_64 generatorOf(std::uint64_t seed, std::string_view part, std::uint64_t number)
 {
     return std::mt19937_64(Core::hash64(std::string(part) + std::to_string(number), seed));
--- a/Utilities/jujubeload/Workload.h
+++ b/Utilities/jujubeload/Workload.h
@@ -7,10 +7,10 @@
 
 namespace Load {
 
-/// Seeded prompts that share prefixes nested in two levels: a text shared by a family of prefixes,
-/// then the prefix's own, then the prompt's own end. Some prefixes are hot, and whole prompts
-/// recur. The prompt of an index depends on nothing but the settings, so that runs can be compared
-/// whatever order their answers come in. Safe from any thread.
+/// Seeded prompts with prefixes that are shared on two levels: a text common to a family of
+/// prefixes, then the text of the prefix, then the prompt's own suffix. Some prefixes are used
+/// frequently, and whole prompts recur. The prompt at an index depends only on the settings, so
+/// that runs can be compared regardless of the order of their answers. Thread-safe.
 class Workload
 {
 public:
@@ -19,7 +19,7 @@
     std::string promptAt(std::uint64_t index) const;
 
     static constexpr std::size_t PrefixesPerFamily = 4;
-    /// Different prompts with one prefix; further ones are equal to earlier ones.
+    /// Number of distinct prompts with one prefix; further prompts repeat earlier ones.
     static constexpr std::uint64_t PromptsPerPrefix = 64;
 
 private:
--- a/Utilities/jujubeload/main.cpp
+++ b/Utilities/jujubeload/main.cpp
@@ -5,7 +5,7 @@
 
 #include <iostream>
 
-/// Exits with 0 when every answer was whole and right, 1 when one was not, 2 for wrong settings.
+/// Exits with 0 if every answer was complete and correct, 1 if not, 2 for invalid settings.
 int main(int argc, char **argv)
 {
     constexpr int SettingsFault = 2;
