--- a/Tests/Processes/TestStreams.cpp
+++ b/Tests/Processes/TestStreams.cpp
@@ -76,7 +76,7 @@
         });
     }
 
-    /// Waits until the engine has sent enough tokens that one of its streams is half complete.
+    /// Waits until the engine has sent enough tokens that one of its streams is in mid-answer.
     void awaitMidStream(const std::string &engine)
     {
         awaitAllRunning();
--- a/Tests/StandIns/EngineStandIn.h
+++ b/Tests/StandIns/EngineStandIn.h
@@ -69,7 +69,7 @@
     EngineSettings m_settings;
     EngineCache m_cache;
     std::size_t m_running = 0;
-    /// Waiting requests, ordered by priority and then by age, oldest first.
+    /// Waiting requests, the most urgent first, in order of arrival within a priority.
     std::multimap<long long, std::shared_ptr<boost::asio::steady_timer>> m_waiting;
     std::uint64_t m_incarnation;
     std::uint64_t m_fencing = 0;
--- a/Tests/StandIns/StoreStandIn.h
+++ b/Tests/StandIns/StoreStandIn.h
@@ -31,7 +31,7 @@
     /// Writes a record as operators and workers do. A missing value deletes the key.
     void put(const std::string &topic, const std::string &key,
              const std::optional<std::string> &value);
-    /// Returns the records of a topic without keys.
+    /// Returns the number of records of a topic without keys.
     std::size_t count(const std::string &topic) const;
     /// While this is set, every call is answered with the given status.
     void setRefusal(unsigned status);
--- a/Tests/StandIns/WorkerStandIn.h
+++ b/Tests/StandIns/WorkerStandIn.h
@@ -23,7 +23,7 @@
 
     WorkerStandIn(Core::IoThreads &threads, std::string id, std::string service);
 
-    /// Waits for the exchanges that are still in progress.
+    /// Waits for the exchanges that its handlers still serve.
     ~WorkerStandIn();
     WorkerStandIn(const WorkerStandIn &) = delete;
     WorkerStandIn &operator=(const WorkerStandIn &) = delete;
@@ -39,7 +39,7 @@
 
     /// Returns the requests that were received, without orders and queries.
     std::vector<Http::Request> requests() const;
-    /// Returns the requests that were executed.
+    /// Returns the number of requests that were executed.
     std::size_t runs() const { return m_runs; }
     /// Returns the bodies of the accepted orders.
     std::vector<std::string> orders() const;
--- a/Utilities/jujubectl/ConfigWatch.cpp
+++ b/Utilities/jujubectl/ConfigWatch.cpp
@@ -60,7 +60,7 @@
     co_return history.current()->generation;
 }
 
-/// Returns the current progress; empty if the platform does not list the instances.
+/// Returns the current progress; empty if the instance list is unavailable.
 asio::awaitable<Progress> poll(Context &context, Generation generation)
 {
     std::vector<TargetStatus> statuses;
