--- a/Tests/Processes/Process.cpp
+++ b/Tests/Processes/Process.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 // Far longer than any step takes, so that only a hang reaches it.
-constexpr int SilenceLimitMs = 60'000;
+constexpr int OutputTimeoutMs = 60'000;
 
 } // namespace
 
@@ -56,7 +56,7 @@
 bool Process::readMore()
 {
     pollfd waiting {m_output, POLLIN, 0};
-    if (::poll(&waiting, 1, SilenceLimitMs) <= 0)
+    if (::poll(&waiting, 1, OutputTimeoutMs) <= 0)
         throw std::runtime_error("the program is silent; last output: " + m_pending);
     std::array<char, 4096> buf {};
     const auto n = ::read(m_output, buf.data(), buf.size());
--- a/Tests/Processes/TestAtMostOnce.cpp
+++ b/Tests/Processes/TestAtMostOnce.cpp
@@ -31,13 +31,13 @@
 }
 
 /// The answers that callers received for one idempotency key.
-struct Told
+struct KeyOutcome
 {
     int served = 0;
-    int saidNeverRun = 0;
+    int reportedNotRun = 0;
     int unknown = 0;
     int refused = 0;
-    int cut = 0;
+    int disconnected = 0;
 };
 
 /// Routers in two data centres in front of two workers, and callers that send every key to several
@@ -63,19 +63,19 @@
             note(key, send(router, order(name, issuedAt)));
         } catch (const Core::Error &) {
             const std::scoped_lock lock(mutex);
-            ++told[static_cast<std::size_t>(key)].cut;
+            ++outcomes[static_cast<std::size_t>(key)].disconnected;
         }
     }
 
     void note(int key, const Http::Response &answer)
     {
         const std::scoped_lock lock(mutex);
-        auto &row = told[static_cast<std::size_t>(key)];
+        auto &row = outcomes[static_cast<std::size_t>(key)];
         if (answer.status == 200)
             ++row.served;
         else
             ++row.refused;
-        row.saidNeverRun += answer.body.find(R"("key":"not_run")") != std::string::npos ? 1 : 0;
+        row.reportedNotRun += answer.body.find(R"("key":"not_run")") != std::string::npos ? 1 : 0;
         row.unknown += answer.body.find(R"("key":"unknown")") != std::string::npos ? 1 : 0;
     }
 
@@ -124,13 +124,13 @@
     {
         int served = 0;
         for (int key = 0; key < Keys; ++key) {
-            const auto &row = told[static_cast<std::size_t>(key)];
+            const auto &row = outcomes[static_cast<std::size_t>(key)];
             INFO("key " << key << " served " << row.served << " refused " << row.refused << " cut "
-                        << row.cut << " unknown " << row.unknown);
+                        << row.disconnected << " unknown " << row.unknown);
             const auto count = runs(key);
             CHECK(count <= 1);
             CHECK((row.served == 0 || count == 1));
-            CHECK((row.saidNeverRun == 0 || count == 0));
+            CHECK((row.reportedNotRun == 0 || count == 0));
             served += row.served > 0 ? 1 : 0;
         }
         WARN("keys served: " << served << " of " << Keys);
@@ -139,7 +139,7 @@
     const std::vector<std::string> names {"router-1", "router-2", "router-3"};
     const std::string issuedAt = issueTime();
     std::mutex mutex;
-    std::vector<Told> told {Keys};
+    std::vector<KeyOutcome> outcomes {Keys};
 };
 
 } // namespace
@@ -183,6 +183,6 @@
     fleet.checkEveryAnswer();
     for (int key = 0; key < Keys; ++key) {
         CHECK(fleet.runs(key) == 1);
-        CHECK(fleet.told[static_cast<std::size_t>(key)].saidNeverRun == 0);
+        CHECK(fleet.outcomes[static_cast<std::size_t>(key)].reportedNotRun == 0);
     }
 }
--- a/Tests/Processes/TestStreams.cpp
+++ b/Tests/Processes/TestStreams.cpp
@@ -86,7 +86,7 @@
         });
     }
 
-    void checkAllWhole(std::vector<std::future<std::string>> &bodies)
+    void checkAllComplete(std::vector<std::future<std::string>> &bodies)
     {
         std::vector<std::string> answers;
         answers.reserve(Streams);
@@ -118,7 +118,7 @@
     auto bodies = fleet.startStreams();
     fleet.awaitMidStream("engine-1");
     fleet.json(fleet.node("engine-1").address, "/control", R"({"crash":true})");
-    fleet.checkAllWhole(bodies);
+    fleet.checkAllComplete(bodies);
     CHECK(fleet.resumed() > 0);
 }
 
@@ -128,7 +128,7 @@
     auto bodies = fleet.startStreams();
     fleet.awaitMidStream("engine-1");
     fleet.node("engine-1").process->signal(SIGSTOP);
-    fleet.checkAllWhole(bodies);
+    fleet.checkAllComplete(bodies);
     CHECK(fleet.resumed() > 0);
 }
 
@@ -137,7 +137,7 @@
     StreamFleet fleet(2);
     fleet.json(fleet.node("engine-1").address, "/control", R"({"cross_answers":true})");
     auto bodies = fleet.startStreams();
-    fleet.checkAllWhole(bodies);
+    fleet.checkAllComplete(bodies);
 }
 
 TEST_CASE("a stream that cannot go on ends with an explicit error event")
@@ -187,7 +187,7 @@
         return answer.status == 503 && answer.body.find(R"("kind":"draining")") != std::string::npos
                && answer.body.find(R"("attempt":"not_run")") != std::string::npos;
     });
-    fleet.checkAllWhole(bodies);
+    fleet.checkAllComplete(bodies);
     const auto line = fleet.node("router").process->awaitLine("process_stopped");
     CHECK(line.find("\"cut_requests\":\"0\"") != std::string::npos);
     CHECK(fleet.node("router").process->wait() == 0);
--- a/Tests/StandIns/EngineCache.h
+++ b/Tests/StandIns/EngineCache.h
@@ -12,7 +12,7 @@
 
 /// Returns the hashes of a prompt's blocks. Each covers all preceding text, so that equal hashes
 /// mean equal prefixes. The salt separates teams and weights.
-std::vector<std::uint64_t> chainPieces(std::string_view prompt, std::size_t pieceBytes,
+std::vector<std::uint64_t> chainBlocks(std::string_view prompt, std::size_t blockBytes,
                                        std::string_view salt);
 
 /// A prefix cache of limited size with least-recently-used eviction.
@@ -29,7 +29,7 @@
     explicit EngineCache(std::size_t capacity);
 
     /// Returns the number of leading blocks that are cached, then stores all blocks.
-    std::size_t use(const std::vector<std::uint64_t> &pieces);
+    std::size_t use(const std::vector<std::uint64_t> &blocks);
     void clear();
     std::size_t size() const { return m_order.size(); }
     /// Returns the events from a sequence number on. Omits every tenth to simulate a lossy stream.
@@ -40,7 +40,7 @@
 
     std::size_t m_capacity;
     std::list<std::uint64_t> m_order;
-    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_places;
+    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_positions;
     std::vector<Event> m_events;
 };
 
--- a/Tests/StandIns/EngineMain.cpp
+++ b/Tests/StandIns/EngineMain.cpp
@@ -13,7 +13,7 @@
     app.add_option("--port", port, "Port on the loopback address; 0 takes a free one");
     app.add_option("--slots", settings.slots, "Requests run at a time");
     app.add_option("--cache-pieces", settings.cacheBlocks, "Pieces the prefix cache holds");
-    app.add_option("--piece-bytes", settings.pieceBytes, "Bytes of prompt in a piece");
+    app.add_option("--piece-bytes", settings.blockBytes, "Bytes of prompt in a piece");
     app.add_option("--prefill-us-per-kb", prefillUs, "Prefill time of a kilobyte of prompt");
     app.add_option("--decode-us", decodeUs, "Time between two tokens");
     app.add_option("--load-ms", loadMs, "Time to load weights");
--- a/Tests/StandIns/EngineStandIn.cpp
+++ b/Tests/StandIns/EngineStandIn.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr std::size_t BytesPerToken = 4;
-constexpr std::chrono::milliseconds FrozenPoll {5};
+constexpr std::chrono::milliseconds FrozenPollInterval {5};
 constexpr unsigned StatusConflict = 409;
 
 /// The error that callers of a crashed process see.
@@ -57,7 +57,7 @@
         co_return co_await answerJson(exchange, json::object {});
     }
     while (m_frozen)
-        co_await sleepFor(FrozenPoll);
+        co_await sleepFor(FrozenPollInterval);
     if (path == "/load")
         co_return co_await answerJson(exchange, loadReport());
     if (path == "/events") {
@@ -98,8 +98,8 @@
     }
     co_await takeSlot(numberOf(body, "priority", 0));
     const auto salt = team + '/' + m_settings.weightsVersion;
-    const auto pieces = chainPieces(job.text, m_settings.pieceBytes, salt);
-    const auto cachedBytes = m_cache.use(pieces) * m_settings.pieceBytes;
+    const auto blocks = chainBlocks(job.text, m_settings.blockBytes, salt);
+    const auto cachedBytes = m_cache.use(blocks) * m_settings.blockBytes;
     job.promptTokens = job.text.size() / BytesPerToken;
     job.cachedTokens = cachedBytes / BytesPerToken;
     std::exception_ptr failure;
@@ -182,7 +182,7 @@
     asio::steady_timer timer(co_await asio::this_coro::executor, time);
     co_await timer.async_wait(asio::use_awaitable);
     while (m_frozen)
-        co_await sleepFor(FrozenPoll);
+        co_await sleepFor(FrozenPollInterval);
     if (job.epoch != m_incarnation)
         cutConnection();
 }
@@ -197,7 +197,7 @@
     m_fencing = std::max(m_fencing, fencing);
     const auto version = std::string(body.at("weights_version").as_string());
     ++m_loading;
-    m_mostLoading = std::max(m_mostLoading, m_loading);
+    m_maxLoading = std::max(m_maxLoading, m_loading);
     co_await sleepFor(m_settings.loadTime);
     --m_loading;
     m_settings.weightsVersion = version;
@@ -243,7 +243,7 @@
     report["slots"] = m_settings.slots;
     report["weights_version"] = m_settings.weightsVersion;
     report["loading"] = m_loading;
-    report["most_loading"] = m_mostLoading;
+    report["most_loading"] = m_maxLoading;
     report["fencing"] = m_fencing;
     report["draining"] = m_draining;
     report["cached_pieces"] = m_cache.size();
--- a/Tests/StandIns/EngineStandIn.h
+++ b/Tests/StandIns/EngineStandIn.h
@@ -18,7 +18,7 @@
 {
     std::size_t slots = 8;
     std::size_t cacheBlocks = 1000;
-    std::size_t pieceBytes = 8000;
+    std::size_t blockBytes = 8000;
     std::chrono::microseconds prefillPerKilobyte {50};
     std::chrono::microseconds decodePerToken {1000};
     std::chrono::milliseconds loadTime {200};
@@ -74,7 +74,7 @@
     std::uint64_t m_incarnation;
     std::uint64_t m_fencing = 0;
     std::size_t m_loading = 0;
-    std::size_t m_mostLoading = 0;
+    std::size_t m_maxLoading = 0;
     bool m_frozen = false;
     bool m_draining = false;
     std::size_t m_crashes = 0;
--- a/Tests/StandIns/PlatformStandIn.cpp
+++ b/Tests/StandIns/PlatformStandIn.cpp
@@ -108,8 +108,8 @@
     {
         const std::scoped_lock lock(m_mutex);
         const auto now = m_clock.now();
-        m_weightStoreFree = std::max(m_weightStoreFree, now) + m_weightTime;
-        wait = std::chrono::duration_cast<milliseconds>(m_weightStoreFree - now);
+        m_weightStoreFreeAt = std::max(m_weightStoreFreeAt, now) + m_weightTime;
+        wait = std::chrono::duration_cast<milliseconds>(m_weightStoreFreeAt - now);
     }
     co_await sleepFor(wait);
     json::object answer;
--- a/Tests/StandIns/PlatformStandIn.h
+++ b/Tests/StandIns/PlatformStandIn.h
@@ -51,7 +51,7 @@
     std::deque<ListVersion> m_lists;
     std::chrono::milliseconds m_listLag {0};
     bool m_listFrozen = false;
-    Core::Clock::Monotonic m_weightStoreFree;
+    Core::Clock::Monotonic m_weightStoreFreeAt;
     std::chrono::milliseconds m_weightTime {100};
 };
 
--- a/Tests/jujubeload/TestAnswers.cpp
+++ b/Tests/jujubeload/TestAnswers.cpp
@@ -13,7 +13,7 @@
     return Http::formatEvent(R"({"choices":[{"index":0,"text":")" + text + R"("}]})");
 }
 
-AnswerFault verdict(const std::string &body)
+AnswerFault faultOf(const std::string &body)
 {
     Load::StreamedAnswer answer;
     answer.feed(body);
@@ -44,17 +44,17 @@
 
 TEST_CASE("A stream that is not whole is told by its fault")
 {
-    CHECK(verdict(chunk("one ") + chunk("two")) == AnswerFault::Incomplete);
-    CHECK(verdict(chunk("one ") + "data: [DO") == AnswerFault::Incomplete);
-    CHECK(verdict(EndEvent) == AnswerFault::Incomplete);
-    CHECK(verdict(chunk("one") + EndEvent + chunk("two")) == AnswerFault::AfterEnd);
-    CHECK(verdict(chunk("one") + EndEvent + "data: ") == AnswerFault::Incomplete);
-    CHECK(verdict(chunk("one") + Http::formatEvent("error", "{}") + EndEvent)
+    CHECK(faultOf(chunk("one ") + chunk("two")) == AnswerFault::Incomplete);
+    CHECK(faultOf(chunk("one ") + "data: [DO") == AnswerFault::Incomplete);
+    CHECK(faultOf(EndEvent) == AnswerFault::Incomplete);
+    CHECK(faultOf(chunk("one") + EndEvent + chunk("two")) == AnswerFault::AfterEnd);
+    CHECK(faultOf(chunk("one") + EndEvent + "data: ") == AnswerFault::Incomplete);
+    CHECK(faultOf(chunk("one") + Http::formatEvent("error", "{}") + EndEvent)
           == AnswerFault::ErrorEvent);
-    CHECK(verdict(chunk("one") + Http::formatEvent(R"({"error":{}})") + EndEvent)
+    CHECK(faultOf(chunk("one") + Http::formatEvent(R"({"error":{}})") + EndEvent)
           == AnswerFault::ErrorEvent);
-    CHECK(verdict(chunk("one") + Http::formatEvent("{") + EndEvent) == AnswerFault::Malformed);
-    CHECK(verdict(chunk("one") + Http::formatEvent("{}") + EndEvent) == AnswerFault::Malformed);
+    CHECK(faultOf(chunk("one") + Http::formatEvent("{") + EndEvent) == AnswerFault::Malformed);
+    CHECK(faultOf(chunk("one") + Http::formatEvent("{}") + EndEvent) == AnswerFault::Malformed);
 }
 
 TEST_CASE("A whole body without text is a fault")
--- a/Utilities/jujubectl/CommandLine.cpp
+++ b/Utilities/jujubectl/CommandLine.cpp
@@ -148,7 +148,7 @@
     return parsed.assume_value();
 }
 
-Settings checked(RawSettings &raw)
+Settings validated(RawSettings &raw)
 {
     auto settings = std::move(raw.settings);
     settings.timeout = std::chrono::milliseconds(raw.timeoutMs);
@@ -184,10 +184,10 @@
     declareOthers(app, raw);
     try {
         app.parse(argc, argv);
-        return {.settings = checked(raw)};
+        return {.settings = validated(raw)};
     } catch (const CLI::ParseError &error) {
-        const bool isFault = app.exit(error) != 0;
-        return {.exitCode = isFault ? static_cast<int>(ExitCode::Usage) : 0};
+        const bool isError = app.exit(error) != 0;
+        return {.exitCode = isError ? static_cast<int>(ExitCode::Usage) : 0};
     }
 }
 
--- a/Utilities/jujubectl/ConfigWatch.cpp
+++ b/Utilities/jujubectl/ConfigWatch.cpp
@@ -50,7 +50,7 @@
     context.err << std::endl;
 }
 
-asio::awaitable<Generation> wantedGeneration(Context &context)
+asio::awaitable<Generation> requestedGeneration(Context &context)
 {
     if (context.settings.generation)
         co_return *context.settings.generation;
@@ -76,15 +76,15 @@
 
 asio::awaitable<ExitCode> configWatch(Context &context)
 {
-    const auto generation = co_await wantedGeneration(context);
+    const auto generation = co_await requestedGeneration(context);
     const auto deadline = context.clock.now() + context.settings.timeout;
     asio::steady_timer timer(co_await asio::this_coro::executor);
     for (;;) {
         const auto progress = co_await poll(context, generation);
         printProgress(context, progress, generation);
         const bool isComplete = progress.isComplete();
-        const bool isLate = context.clock.now() + PollInterval > deadline;
-        if ((isComplete || isLate) && context.settings.json)
+        const bool isTimedOut = context.clock.now() + PollInterval > deadline;
+        if ((isComplete || isTimedOut) && context.settings.json)
             context.out << boost::json::object {
                 {"generation", generation},
                 {"in_force", progress.inForce},
@@ -92,7 +92,7 @@
             } << '\n';
         if (isComplete)
             co_return ExitCode::Success;
-        if (isLate)
+        if (isTimedOut)
             co_return ExitCode::TimedOut;
         timer.expires_after(PollInterval);
         co_await timer.async_wait(asio::use_awaitable);
--- a/Utilities/jujubectl/Trace.cpp
+++ b/Utilities/jujubectl/Trace.cpp
@@ -21,12 +21,12 @@
 using Time = std::chrono::sys_time<std::chrono::milliseconds>;
 
 // Events about an upstream within this time before the request may explain its outcome.
-constexpr std::chrono::milliseconds Before = 2s;
+constexpr std::chrono::milliseconds UpstreamEventLead = 2s;
 // The range of a hundred event numbers for upstreams (docs/EVENTS.md).
 constexpr std::int64_t FirstUpstreamEvent = 300;
 constexpr std::int64_t LastUpstreamEvent = 399;
 
-struct Line
+struct LogLine
 {
     Time time;
     /// The instance, taken from the text before the log line or from the file name.
@@ -57,7 +57,7 @@
 }
 
 /// Parses a log line. Returns nothing for other text, such as the output of other programs.
-std::optional<Line> readLine(const std::string &text, const std::string &file)
+std::optional<LogLine> readLine(const std::string &text, const std::string &file)
 {
     const auto begin = text.find('{');
     if (begin == std::string::npos)
@@ -66,7 +66,7 @@
     const auto value = boost::json::parse(text.substr(begin), ec);
     if (ec || !value.is_object())
         return std::nullopt;
-    Line line;
+    LogLine line;
     line.fields = value.as_object();
     const auto time = timeOf(line.fields);
     if (!time)
@@ -81,9 +81,9 @@
     return line;
 }
 
-std::vector<Line> readLines(const std::vector<std::string> &files)
+std::vector<LogLine> readLines(const std::vector<std::string> &files)
 {
-    std::vector<Line> lines;
+    std::vector<LogLine> lines;
     for (const auto &file : files) {
         std::istringstream input(readInput(file));
         for (std::string text; std::getline(input, text);) {
@@ -91,12 +91,13 @@
                 lines.push_back(std::move(*line));
         }
     }
-    std::stable_sort(lines.begin(), lines.end(),
-                     [](const Line &left, const Line &right) { return left.time < right.time; });
+    std::stable_sort(lines.begin(), lines.end(), [](const LogLine &left, const LogLine &right) {
+        return left.time < right.time;
+    });
     return lines;
 }
 
-bool isAboutUpstream(const Line &line, const std::set<std::string> &upstreams)
+bool isAboutUpstream(const LogLine &line, const std::set<std::string> &upstreams)
 {
     const auto *event = line.fields.if_contains("event");
     if (!event || !event->is_int64())
@@ -106,7 +107,7 @@
            && upstreams.contains(textOf(line.fields, "upstream"));
 }
 
-void print(const Line &line, std::ostream &out)
+void print(const LogLine &line, std::ostream &out)
 {
     out << textOf(line.fields, "time") << ' ' << line.source << ' ' << textOf(line.fields, "name");
     for (const auto &field : line.fields) {
@@ -122,7 +123,7 @@
 boost::asio::awaitable<ExitCode> trace(Context &context)
 {
     const auto lines = readLines(context.settings.files);
-    const auto isOwn = [&](const Line &line) {
+    const auto isOwn = [&](const LogLine &line) {
         return textOf(line.fields, "request") == context.settings.request;
     };
     const auto first = std::find_if(lines.begin(), lines.end(), isOwn);
@@ -139,8 +140,9 @@
     }
     upstreams.erase("");
     for (const auto &line : lines) {
-        const bool isMeanwhile = line.time >= first->time - Before && line.time <= last->time;
-        if (!isOwn(line) && !(isMeanwhile && isAboutUpstream(line, upstreams)))
+        const bool isConcurrent =
+            line.time >= first->time - UpstreamEventLead && line.time <= last->time;
+        if (!isOwn(line) && !(isConcurrent && isAboutUpstream(line, upstreams)))
             continue;
         if (context.settings.json)
             context.out << line.fields << '\n';
--- a/Utilities/jujubectl/main.cpp
+++ b/Utilities/jujubectl/main.cpp
@@ -17,11 +17,11 @@
 using namespace Jujubectl;
 
 /// Limits each call, so that an unresponsive instance does not use up the whole timeout.
-constexpr std::chrono::milliseconds LongestCall {2'000};
+constexpr std::chrono::milliseconds MaxCallDuration {2'000};
 
 int run(const Settings &settings)
 {
-    const auto callLimit = std::min(settings.timeout, LongestCall);
+    const auto callLimit = std::min(settings.timeout, MaxCallDuration);
     std::unique_ptr<Platform::HttpLogService> log;
     std::unique_ptr<Platform::HttpInstanceDirectory> directory;
     if (settings.platform) {
--- a/Utilities/jujubeload/LoadRun.cpp
+++ b/Utilities/jujubeload/LoadRun.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr unsigned StatusOk = 200;
-constexpr std::chrono::milliseconds EndPoll {5};
+constexpr std::chrono::milliseconds EndPollInterval {5};
 constexpr std::size_t RefusalLimitBytes = 64 * 1024;
 
 /// Returns the name of a refusal: its HTTP status and, if the body contains one, its error kind.
@@ -41,8 +41,8 @@
 asio::awaitable<std::string> readRefusal(Http::ClientExchange &exchange)
 {
     std::string body;
-    while (const auto piece = co_await exchange.readSome()) {
-        body += *piece;
+    while (const auto chunk = co_await exchange.readSome()) {
+        body += *chunk;
         if (body.size() > RefusalLimitBytes)
             break;
     }
@@ -71,8 +71,8 @@
     }
     for (auto &loop : loops)
         loop.get();
-    while (m_underWay > 0)
-        std::this_thread::sleep_for(EndPoll);
+    while (m_inFlight > 0)
+        std::this_thread::sleep_for(EndPollInterval);
     RunReport report;
     report.elapsed = m_clock.now() - m_startedAt;
     report.totals = m_record.totals();
@@ -81,7 +81,7 @@
     return report;
 }
 
-bool LoadRun::isWanted(std::uint64_t number) const
+bool LoadRun::shouldSend(std::uint64_t number) const
 {
     if (m_settings.requests && number >= *m_settings.requests)
         return false;
@@ -90,7 +90,7 @@
 
 asio::awaitable<void> LoadRun::closedLoop()
 {
-    for (auto number = m_next++; isWanted(number); number = m_next++)
+    for (auto number = m_next++; shouldSend(number); number = m_next++)
         co_await sendOne(number, m_clock.now());
 }
 
@@ -100,18 +100,18 @@
     std::exponential_distribution<double> interval(*m_settings.arrivalRate);
     asio::steady_timer timer(co_await asio::this_coro::executor);
     auto due = m_startedAt;
-    for (std::uint64_t number = 0; isWanted(number); ++number) {
+    for (std::uint64_t number = 0; shouldSend(number); ++number) {
         due += std::chrono::duration_cast<std::chrono::nanoseconds>(
             std::chrono::duration<double>(interval(random)));
         timer.expires_at(due);
         co_await timer.async_wait(asio::use_awaitable);
-        ++m_underWay;
+        ++m_inFlight;
         asio::co_spawn(m_threads.next(), sendOne(number, due),
-                       [this](const std::exception_ptr &) { --m_underWay; });
+                       [this](const std::exception_ptr &) { --m_inFlight; });
     }
 }
 
-asio::awaitable<void> LoadRun::sendOne(std::uint64_t index, Due due)
+asio::awaitable<void> LoadRun::sendOne(std::uint64_t index, StartTime due)
 {
     RequestOutcome outcome;
     try {
@@ -124,7 +124,7 @@
     m_record.note(outcome);
 }
 
-asio::awaitable<void> LoadRun::exchange(std::uint64_t index, Due due, RequestOutcome &outcome)
+asio::awaitable<void> LoadRun::exchange(std::uint64_t index, StartTime due, RequestOutcome &outcome)
 {
     const auto prompt = m_workload.promptAt(index + m_settings.skip);
     const auto target = m_settings.targets[index % m_settings.targets.size()];
@@ -143,12 +143,12 @@
 }
 
 asio::awaitable<void> LoadRun::readStream(Http::ClientExchange &exchange, const std::string &prompt,
-                                          Due due, RequestOutcome &outcome)
+                                          StartTime due, RequestOutcome &outcome)
 {
     StreamedAnswer answer;
-    std::optional<Due> lastText;
-    while (const auto piece = co_await exchange.readSome()) {
-        const auto withText = answer.feed(*piece);
+    std::optional<StartTime> lastText;
+    while (const auto chunk = co_await exchange.readSome()) {
+        const auto withText = answer.feed(*chunk);
         const auto now = m_clock.now();
         for (std::size_t n = 0; n < withText; ++n) {
             if (lastText)
@@ -160,24 +160,24 @@
     }
     outcome.whole = m_clock.now() - due;
     outcome.usage = answer.usage();
-    judge(answer.finish(), prompt, answer.text(), outcome);
+    checkAnswer(answer.finish(), prompt, answer.text(), outcome);
 }
 
 asio::awaitable<void> LoadRun::readWhole(Http::ClientExchange &exchange, const std::string &prompt,
-                                         Due due, RequestOutcome &outcome)
+                                         StartTime due, RequestOutcome &outcome)
 {
     std::string body;
-    while (const auto piece = co_await exchange.readSome())
-        body += *piece;
+    while (const auto chunk = co_await exchange.readSome())
+        body += *chunk;
     outcome.whole = m_clock.now() - due;
     outcome.firstToken = outcome.whole;
     const auto answer = parseWholeAnswer(body);
     outcome.usage = answer.usage;
-    judge(answer.fault, prompt, answer.text, outcome);
+    checkAnswer(answer.fault, prompt, answer.text, outcome);
 }
 
-void LoadRun::judge(AnswerFault fault, const std::string &prompt, const std::string &text,
-                    RequestOutcome &outcome)
+void LoadRun::checkAnswer(AnswerFault fault, const std::string &prompt, const std::string &text,
+                          RequestOutcome &outcome)
 {
     if (fault == AnswerFault::None && !m_book.note(prompt, text))
         fault = AnswerFault::DifferentText;
--- a/Utilities/jujubeload/LoadRun.h
+++ b/Utilities/jujubeload/LoadRun.h
@@ -25,23 +25,24 @@
     RunReport run();
 
 private:
-    using Due = Core::Clock::Monotonic;
+    using StartTime = Core::Clock::Monotonic;
 
     boost::asio::awaitable<void> closedLoop();
     boost::asio::awaitable<void> openLoop();
-    boost::asio::awaitable<void> sendOne(std::uint64_t index, Due due);
-    boost::asio::awaitable<void> exchange(std::uint64_t index, Due due, RequestOutcome &outcome);
+    boost::asio::awaitable<void> sendOne(std::uint64_t index, StartTime due);
+    boost::asio::awaitable<void> exchange(std::uint64_t index, StartTime due,
+                                          RequestOutcome &outcome);
     boost::asio::awaitable<void> readStream(Http::ClientExchange &exchange,
-                                            const std::string &prompt, Due due,
+                                            const std::string &prompt, StartTime due,
                                             RequestOutcome &outcome);
     boost::asio::awaitable<void> readWhole(Http::ClientExchange &exchange,
-                                           const std::string &prompt, Due due,
+                                           const std::string &prompt, StartTime due,
                                            RequestOutcome &outcome);
-    void judge(AnswerFault fault, const std::string &prompt, const std::string &text,
-               RequestOutcome &outcome);
+    void checkAnswer(AnswerFault fault, const std::string &prompt, const std::string &text,
+                     RequestOutcome &outcome);
     Http::Request requestFor(const std::string &prompt) const;
     /// Returns whether the request with the given zero-based index is still to be sent.
-    bool isWanted(std::uint64_t number) const;
+    bool shouldSend(std::uint64_t number) const;
 
     Settings m_settings;
     const Core::Clock &m_clock;
@@ -51,9 +52,9 @@
     Http::Client m_client;
     AnswerBook m_book;
     RunRecord m_record;
-    Due m_startedAt;
+    StartTime m_startedAt;
     std::atomic<std::uint64_t> m_next {0};
-    std::atomic<std::uint64_t> m_underWay {0};
+    std::atomic<std::uint64_t> m_inFlight {0};
 };
 
 } // namespace Load
