--- a/Tests/Processes/TestAtMostOnce.cpp
+++ b/Tests/Processes/TestAtMostOnce.cpp
@@ -125,8 +125,8 @@
         int served = 0;
         for (int key = 0; key < Keys; ++key) {
             const auto &row = outcomes[static_cast<std::size_t>(key)];
-            INFO("key " << key << " served " << row.served << " refused " << row.refused << " cut "
-                        << row.disconnected << " unknown " << row.unknown);
+            INFO("key " << key << " served " << row.served << " refused " << row.refused
+                        << " disconnected " << row.disconnected << " unknown " << row.unknown);
             const auto count = runs(key);
             CHECK(count <= 1);
             CHECK((row.served == 0 || count == 1));
@@ -157,7 +157,7 @@
     fleet.checkEveryAnswer();
 }
 
-TEST_CASE("orders run at most once while the log loses answers and goes out")
+TEST_CASE("orders run at most once while the log loses answers and then fails")
 {
     OrderFleet fleet;
     fleet.sendAllDuring([&] {
@@ -173,8 +173,7 @@
     fleet.checkEveryAnswer();
 }
 
-TEST_CASE(
-    "an order whose answer is lost is never sent again, and nobody is told that it did not run")
+TEST_CASE("an order whose answer is lost is never resent or reported as not run")
 {
     OrderFleet fleet;
     fleet.json(fleet.node("print-1").address, "/control/faults", R"({"lose_answers":100})");
--- a/Tests/Processes/TestConfigurationInForce.cpp
+++ b/Tests/Processes/TestConfigurationInForce.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("an instance that starts while the log is out takes the document from a sibling")
+TEST_CASE("an instance that starts during a log outage gets the document from a sibling")
 {
     Fleet fleet;
     fleet.startEngine("engine-1", "engines");
@@ -33,7 +33,7 @@
     CHECK(answer.status == 200);
 }
 
-TEST_CASE("a running instance serves on through an outage of the whole platform")
+TEST_CASE("a running instance keeps serving during an outage of the whole platform")
 {
     Fleet fleet;
     fleet.startEngine("engine-1", "engines");
@@ -48,7 +48,7 @@
     }
 }
 
-TEST_CASE("a second document replaces the first everywhere, also on an instance that restarts")
+TEST_CASE("a second document replaces the first on every instance, including a restarted one")
 {
     Fleet fleet;
     fleet.startDaemon("router-1", "a");
--- a/Tests/Processes/TestPoison.cpp
+++ b/Tests/Processes/TestPoison.cpp
@@ -4,7 +4,7 @@
 
 using namespace Processes;
 
-TEST_CASE("a request that crashes every engine costs few of them, however often it is resent")
+TEST_CASE("a request that crashes engines reaches only a few, however often it is resent")
 {
     constexpr int Engines = 8;
     constexpr int Resends = 10;
--- a/Tests/Processes/TestStreams.cpp
+++ b/Tests/Processes/TestStreams.cpp
@@ -112,7 +112,7 @@
 
 } // namespace
 
-TEST_CASE("streams of an engine that crashes go on elsewhere without a gap or a repeat")
+TEST_CASE("streams of an engine that crashes continue on another without a gap or a repeat")
 {
     StreamFleet fleet(2, "30000");
     auto bodies = fleet.startStreams();
@@ -122,7 +122,7 @@
     CHECK(fleet.resumed() > 0);
 }
 
-TEST_CASE("streams of an engine that freezes go on elsewhere without a gap or a repeat")
+TEST_CASE("streams of an engine that freezes continue on another without a gap or a repeat")
 {
     StreamFleet fleet(2, "30000");
     auto bodies = fleet.startStreams();
@@ -140,7 +140,7 @@
     fleet.checkAllComplete(bodies);
 }
 
-TEST_CASE("a stream that cannot go on ends with an explicit error event")
+TEST_CASE("a stream that cannot be continued ends with an explicit error event")
 {
     StreamFleet fleet(1);
     fleet.json(fleet.node("engine-1").address, "/control", R"({"cut_after_tokens":5})");
@@ -152,7 +152,7 @@
     CHECK(answer.body.find("[DONE]") == std::string::npos);
 }
 
-TEST_CASE("work of a caller that goes away is cancelled at the engine")
+TEST_CASE("the request of a caller that disconnects is cancelled at the engine")
 {
     StreamFleet fleet(1);
     {
@@ -173,7 +173,7 @@
     CHECK(report.at("cancelled").to_number<int>() == 1);
 }
 
-TEST_CASE("a shutdown under load cuts no request, and the refusals say that nothing ran")
+TEST_CASE("a shutdown under load interrupts no request, and refusals state that nothing ran")
 {
     // Slow enough that every stream has begun before the first one ends: a request that arrives
     // after the signal is refused by design.
@@ -193,7 +193,7 @@
     CHECK(fleet.node("router").process->wait() == 0);
 }
 
-TEST_CASE("a leaving upstream gets no new work, though the list is frozen")
+TEST_CASE("a leaving upstream gets no new work, even if the instance list is stale")
 {
     StreamFleet fleet(2);
     fleet.json(fleet.platform().address, "/control/faults", R"({"list_frozen":true})");
@@ -211,7 +211,7 @@
     CHECK(served() == before);
 }
 
-TEST_CASE("an engine in the middle of long answers is not taken for one that makes no progress")
+TEST_CASE("an engine that generates long answers is not mistaken for a stalled one")
 {
     StreamFleet fleet(1, "30000");
     Fleet::await("the router has heard from the engine itself", [&] {
--- a/Tests/Processes/TestThinPath.cpp
+++ b/Tests/Processes/TestThinPath.cpp
@@ -40,7 +40,7 @@
     CHECK(complete == Requests);
 }
 
-TEST_CASE("a non-repeatable call runs once however often it is sent, at whichever instance")
+TEST_CASE("a non-repeatable call runs once however often and to whichever instance it is sent")
 {
     Fleet fleet;
     fleet.startService("print-1", "trukitellimus");
--- a/Tests/Processes/TestUsage.cpp
+++ b/Tests/Processes/TestUsage.cpp
@@ -33,7 +33,8 @@
 
 } // namespace
 
-TEST_CASE("the account adds up to the token though append answers are lost and routers end")
+TEST_CASE(
+    "the usage totals are exact to the token although append answers are lost and routers exit")
 {
     constexpr std::size_t Requests = 20;
     constexpr std::size_t Tokens = 7;
--- a/Tests/StandIns/EngineMain.cpp
+++ b/Tests/StandIns/EngineMain.cpp
@@ -11,14 +11,15 @@
     long long decodeUs = settings.decodePerToken.count();
     long long loadMs = settings.loadTime.count();
     app.add_option("--port", port, "Port on the loopback address; 0 takes a free one");
-    app.add_option("--slots", settings.slots, "Requests run at a time");
-    app.add_option("--cache-pieces", settings.cacheBlocks, "Pieces the prefix cache holds");
-    app.add_option("--piece-bytes", settings.blockBytes, "Bytes of prompt in a piece");
+    app.add_option("--slots", settings.slots, "Number of requests that run concurrently");
+    app.add_option("--cache-pieces", settings.cacheBlocks,
+                   "Capacity of the prefix cache in blocks");
+    app.add_option("--piece-bytes", settings.blockBytes, "Size of a block in bytes of the prompt");
     app.add_option("--prefill-us-per-kb", prefillUs, "Prefill time of a kilobyte of prompt");
     app.add_option("--decode-us", decodeUs, "Time between two tokens");
     app.add_option("--load-ms", loadMs, "Time to load weights");
     app.add_option("--weights-version", settings.weightsVersion, "Weights loaded at the start");
-    app.add_flag("--checks-fencing", settings.checksFencing, "Refuse old fencing numbers");
+    app.add_flag("--checks-fencing", settings.checksFencing, "Refuse stale fencing tokens");
     app.add_option("--poison-marker", settings.poisonMarker, "Text in a prompt that crashes it");
     CLI11_PARSE(app, argc, argv);
     settings.prefillPerKilobyte = std::chrono::microseconds(prefillUs);
--- a/Tests/jujubectl/TestCommandLine.cpp
+++ b/Tests/jujubectl/TestCommandLine.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("every command is understood, flags before or after it")
+TEST_CASE("every command is parsed with flags before or after it")
 {
     const auto check = parse({"config", "check", "FILE"});
     REQUIRE(check.settings);
@@ -36,7 +36,7 @@
     CHECK(parse({"--admin", "127.0.0.1:1", "usage"}).settings);
 }
 
-TEST_CASE("what is missing or wrong ends with exit code 2")
+TEST_CASE("missing or invalid arguments end with exit code 2")
 {
     CHECK(parse({}).exitCode == 2);
     CHECK(parse({"status"}).exitCode == 2);
@@ -48,7 +48,7 @@
     CHECK(parse({"--help"}).exitCode == 0);
 }
 
-TEST_CASE("production takes untried documents only when told to")
+TEST_CASE("production accepts untried documents only with --untried")
 {
     const std::vector<const char *> line = {
         "--platform", "127.0.0.1:1", "--environment", "production", "config", "publish", "F"};
--- a/Tests/jujubectl/TestCommands.cpp
+++ b/Tests/jujubectl/TestCommands.cpp
@@ -122,7 +122,7 @@
 
 } // namespace
 
-TEST_CASE("a request is traced over the logs of instances, with news of its upstreams")
+TEST_CASE("a request is traced across the logs of instances, with events of its upstreams")
 {
     const auto path = "jujubectl-trace-" + std::to_string(::getpid()) + ".log";
     std::ofstream(path)
@@ -173,14 +173,14 @@
     CHECK(fixture.publish(sampleDocument(4)) == ExitCode::Unavailable);
 }
 
-TEST_CASE("an unanswered publication is neither success nor refusal")
+TEST_CASE("an unanswered publication is reported as neither accepted nor refused")
 {
     Fixture fixture;
     fixture.service.lateAppends = 100;
     CHECK(fixture.publish(sampleDocument(1)) == ExitCode::OutcomeUnknown);
 }
 
-TEST_CASE("production gets the bytes that trial has accepted, and no others")
+TEST_CASE("promotion publishes exactly the bytes that trial has accepted")
 {
     Fixture fixture;
     CHECK(fixture.run(CommandKind::ConfigPromote) == ExitCode::NotAccepted);
--- a/Tests/jujubeload/TestAnswers.cpp
+++ b/Tests/jujubeload/TestAnswers.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("A whole stream passes in whatever pieces it comes")
+TEST_CASE("A complete stream is accepted however its bytes are split")
 {
     const auto usage = Http::formatEvent(
         R"({"choices":[{"text":""}],"usage":{"prompt_tokens":40,"completion_tokens":2,)"
@@ -42,7 +42,7 @@
     CHECK(answer.usage().completionTokens == 2);
 }
 
-TEST_CASE("A stream that is not whole is told by its fault")
+TEST_CASE("An incomplete or malformed stream is reported by its fault")
 {
     CHECK(faultOf(chunk("one ") + chunk("two")) == AnswerFault::Incomplete);
     CHECK(faultOf(chunk("one ") + "data: [DO") == AnswerFault::Incomplete);
@@ -57,7 +57,7 @@
     CHECK(faultOf(chunk("one") + Http::formatEvent("{}") + EndEvent) == AnswerFault::Malformed);
 }
 
-TEST_CASE("A whole body without text is a fault")
+TEST_CASE("An answer without text is a fault")
 {
     CHECK(Load::parseWholeAnswer(R"({"choices":[{"text":"yes"}]})").fault == AnswerFault::None);
     CHECK(Load::parseWholeAnswer(R"({"choices":[{"text":""}]})").fault == AnswerFault::Incomplete);
--- a/Tests/jujubeload/TestRunReport.cpp
+++ b/Tests/jujubeload/TestRunReport.cpp
@@ -16,7 +16,7 @@
     CHECK(series.quantile(0.99).count() == Approx(0.990).epsilon(0.02));
 }
 
-TEST_CASE("A report counts right answers, and errors by kind")
+TEST_CASE("A report counts correct answers, and errors by kind")
 {
     Load::RunRecord record;
     Load::RequestOutcome right;
--- a/Utilities/jujubectl/CommandLine.cpp
+++ b/Utilities/jujubectl/CommandLine.cpp
@@ -28,12 +28,12 @@
     app.add_option("--platform", raw.platform, "The platform's ADDRESS:PORT")
         ->envname("JUJUBECTL_PLATFORM");
     app.add_option("--admin", raw.admin,
-                   "One instance's admin ADDRESS:PORT, in place of the platform's list")
+                   "One instance's admin ADDRESS:PORT, instead of the platform's list")
         ->envname("JUJUBECTL_ADMIN");
     app.add_option("--environment", raw.settings.environment, "trial, production, ...")
         ->envname("JUJUBECTL_ENVIRONMENT")
         ->default_val("trial");
-    app.add_option("--timeout-ms", raw.timeoutMs, "How long to try or wait, in milliseconds")
+    app.add_option("--timeout-ms", raw.timeoutMs, "Timeout of the command in milliseconds")
         ->envname("JUJUBECTL_TIMEOUT_MS")
         ->default_val(DefaultTimeoutMs);
     app.add_flag("--json", raw.settings.json, "Print JSON for scripts")->envname("JUJUBECTL_JSON");
@@ -60,12 +60,13 @@
     config->require_subcommand(1);
     config->fallthrough();
 
-    auto *check = declareCommand(*config, raw, "check", "Names every fault of a document",
+    auto *check = declareCommand(*config, raw, "check", "Prints every error in a document",
                                  CommandKind::ConfigCheck);
     check->add_option("FILE", settings.file, "The document; - for standard input")->required();
 
-    auto *publish = declareCommand(*config, raw, "publish", "Offers a document to the environment",
-                                   CommandKind::ConfigPublish);
+    auto *publish =
+        declareCommand(*config, raw, "publish", "Publishes a document to the environment",
+                       CommandKind::ConfigPublish);
     publish->add_option("FILE", settings.file, "The document; - for standard input")->required();
     publish
         ->add_option("--replaces", settings.generation,
@@ -73,7 +74,7 @@
         ->envname("JUJUBECTL_REPLACES");
     publish
         ->add_flag("--untried", settings.untried,
-                   "Publish to production what trial has not accepted")
+                   "Publish to production a document that trial has not accepted")
         ->envname("JUJUBECTL_UNTRIED");
     declarePublisher(*publish, settings);
 
@@ -91,7 +92,9 @@
     promote->add_option("--to", settings.promoteTo, "The environment to publish in")
         ->envname("JUJUBECTL_TO")
         ->default_val(ProductionEnvironment);
-    promote->add_option("--digest", settings.digest, "The document; the one in force if left out")
+    promote
+        ->add_option("--digest", settings.digest,
+                     "The document's digest; the one in force if omitted")
         ->envname("JUJUBECTL_DIGEST");
     declarePublisher(*promote, settings);
 
@@ -100,11 +103,11 @@
                                  CommandKind::ConfigWatch);
     watch
         ->add_option("--generation", settings.generation,
-                     "The generation; the newest one accepted if left out")
+                     "The generation; the latest accepted one if omitted")
         ->envname("JUJUBECTL_GENERATION");
 
     auto *restart = declareCommand(*config, raw, "restart",
-                                   "Starts over when the log no longer leads to a document",
+                                   "Restarts the configuration when the log yields no document",
                                    CommandKind::ConfigRestart);
     restart->add_option("FILE", settings.file, "The document; - for standard input")->required();
     restart
@@ -119,22 +122,22 @@
 {
     auto &settings = raw.settings;
     declareCommand(app, raw, "status", "Shows instances and upstreams", CommandKind::Status);
-    declareCommand(app, raw, "usage", "Shows whose capacity served whom, and whose stood idle",
+    declareCommand(app, raw, "usage", "Shows which teams' capacity served which teams or was idle",
                    CommandKind::Usage);
-    auto *drain =
-        declareCommand(app, raw, "drain", "Lets an instance take no new work", CommandKind::Drain);
+    auto *drain = declareCommand(
+        app, raw, "drain", "Drains an instance: it accepts no new requests", CommandKind::Drain);
     drain->add_option("INSTANCE", settings.instance, "The instance; not needed with --admin");
-    auto *trace = declareCommand(app, raw, "trace", "Shows what logs tell of one request",
+    auto *trace = declareCommand(app, raw, "trace", "Shows the log lines about one request",
                                  CommandKind::Trace);
     trace->add_option("ID", settings.request, "The attempt id of the request")->required();
     trace->add_option("LOG", settings.files, "Logs of any instances; - for standard input")
         ->default_val(std::vector<std::string> {"-"});
-    auto *explain =
-        declareCommand(app, raw, "explain", "Shows which upstream a request would go to, and why",
-                       CommandKind::Explain);
+    auto *explain = declareCommand(app, raw, "explain",
+                                   "Shows which upstream a request would be sent to, and why",
+                                   CommandKind::Explain);
     explain->add_option("REQUEST-FILE", settings.file, "The request; - for standard input")
         ->required();
-    explain->add_option("--instance", settings.instance, "The instance to ask; any if left out")
+    explain->add_option("--instance", settings.instance, "The instance to query; any if omitted")
         ->envname("JUJUBECTL_INSTANCE");
 }
 
@@ -160,16 +163,16 @@
                          || command == CommandKind::ConfigRestart
                          || command == CommandKind::ConfigWatch;
     if (usesLog && !settings.platform)
-        throw CLI::ValidationError("--platform", "is needed for this command");
+        throw CLI::ValidationError("--platform", "is required for this command");
     const bool isOffline = command == CommandKind::ConfigCheck || command == CommandKind::Trace;
     if (!settings.platform && !settings.admin && !isOffline)
-        throw CLI::ValidationError("--platform", "is needed, or --admin");
+        throw CLI::ValidationError("--platform", "is required unless --admin is given");
     if (command == CommandKind::Drain && settings.instance.empty() && !settings.admin)
-        throw CLI::ValidationError("INSTANCE", "is needed, or --admin");
+        throw CLI::ValidationError("INSTANCE", "is required unless --admin is given");
     const bool isProduction = settings.environment == ProductionEnvironment;
     if (command == CommandKind::ConfigPublish && isProduction && !settings.untried)
         throw CLI::ValidationError("--environment",
-                                   "use config promote for production, or say --untried");
+                                   "use config promote for production, or pass --untried");
     return settings;
 }
 
--- a/Utilities/jujubectl/ConfigShow.cpp
+++ b/Utilities/jujubectl/ConfigShow.cpp
@@ -35,9 +35,10 @@
                version.publisher, sourceText(version)});
     table.print(context.out);
     if (!history.isAnchored())
-        context.err << "the log holds no copy to go on from; the instances may know more\n";
+        context.err << "the log holds no complete copy of the configuration; see the status of the "
+                       "instances\n";
     if (history.isHalted())
-        context.err << "the log goes on with a newer format than this program knows\n";
+        context.err << "the log continues in a newer format than this program supports\n";
 }
 
 } // namespace
--- a/Utilities/jujubectl/Drain.cpp
+++ b/Utilities/jujubectl/Drain.cpp
@@ -10,7 +10,7 @@
     if (context.settings.json)
         context.out << boost::json::object {{"draining", target.id}} << '\n';
     else
-        context.out << target.id << " takes no new work\n";
+        context.out << target.id << " accepts no new requests\n";
     co_return ExitCode::Success;
 }
 
--- a/Utilities/jujubeload/CommandLine.cpp
+++ b/Utilities/jujubeload/CommandLine.cpp
@@ -24,46 +24,47 @@
     const auto add = [&app](const char *flag, auto &value, const char *variable, const char *help) {
         return app.add_option(flag, value, help)->envname(variable)->capture_default_str();
     };
-    add("--tokens", settings.tokens, "JUJUBELOAD_TOKENS", "Tokens asked for by each request");
+    add("--tokens", settings.tokens, "JUJUBELOAD_TOKENS", "Tokens requested by each request");
     add("--prompt-bytes", settings.workload.promptBytes, "JUJUBELOAD_PROMPT_BYTES",
         "Length of a prompt");
     add("--shared-prefix-bytes", settings.workload.sharedPrefixBytes,
-        "JUJUBELOAD_SHARED_PREFIX_BYTES", "Length of what prompts of one prefix share");
-    add("--prefixes", settings.workload.prefixes, "JUJUBELOAD_PREFIXES", "How many prefixes")
+        "JUJUBELOAD_SHARED_PREFIX_BYTES", "Length of the prefix that prompts share");
+    add("--prefixes", settings.workload.prefixes, "JUJUBELOAD_PREFIXES",
+        "Number of different prefixes")
         ->check(CLI::PositiveNumber);
     add("--seed", settings.workload.seed, "JUJUBELOAD_SEED", "Seed of prompts and arrivals");
     add("--skip", settings.skip, "JUJUBELOAD_SKIP",
-        "Requests of the seeded work to pass over, to go on where another run ended");
+        "Requests to skip at the start of the seeded workload, to continue an earlier run");
 }
 
 void declareRun(CLI::App &app, RawSettings &raw)
 {
     auto &settings = raw.settings;
-    app.add_option("--target", raw.targets, "ADDRESS:PORT; several take requests in turn")
+    app.add_option("--target", raw.targets, "ADDRESS:PORT; several are used round-robin")
         ->envname("JUJUBELOAD_TARGET")
         ->required();
     app.add_option("--key", settings.key, "The caller's key")->envname("JUJUBELOAD_KEY");
-    app.add_option("--model", settings.model, "The model asked for")
+    app.add_option("--model", settings.model, "The requested model")
         ->envname("JUJUBELOAD_MODEL")
         ->required();
-    app.add_option("--connections", settings.connections, "Requests under way at a time")
+    app.add_option("--connections", settings.connections, "Number of concurrent requests")
         ->envname("JUJUBELOAD_CONNECTIONS")
         ->check(CLI::PositiveNumber)
         ->capture_default_str();
     app.add_option("--rate", settings.arrivalRate,
-                   "Open loop: mean arrivals a second, in place of --connections")
+                   "Open loop: mean arrivals per second, instead of --connections")
         ->envname("JUJUBELOAD_RATE")
         ->check(CLI::PositiveNumber);
     auto *requests =
-        app.add_option("--requests", settings.requests, "How many requests (1000 if unset)")
+        app.add_option("--requests", settings.requests, "Number of requests (1000 if unset)")
             ->envname("JUJUBELOAD_REQUESTS");
-    app.add_option("--seconds", raw.seconds, "For how long requests are started")
+    app.add_option("--seconds", raw.seconds, "Time during which requests are started, in seconds")
         ->envname("JUJUBELOAD_SECONDS")
         ->check(CLI::PositiveNumber)
         ->excludes(requests);
-    app.add_flag("--stream,!--no-stream", settings.stream, "Ask for streamed answers (default)")
+    app.add_flag("--stream,!--no-stream", settings.stream, "Request streamed answers (default)")
         ->envname("JUJUBELOAD_STREAM");
-    app.add_option("--threads", settings.threads, "Threads of this program")
+    app.add_option("--threads", settings.threads, "Number of threads of this program")
         ->envname("JUJUBELOAD_THREADS")
         ->check(CLI::PositiveNumber)
         ->capture_default_str();
@@ -94,7 +95,7 @@
 
 Core::Result<std::optional<Settings>> parseCommandLine(int argc, const char *const *argv)
 {
-    CLI::App app("Sends seeded requests, checks that every answer is whole, and reports times");
+    CLI::App app("Sends seeded requests, checks that every answer is complete, and reports times");
     app.set_version_flag("--version", std::string("jujubeload ") + JUJUBE_VERSION);
     RawSettings raw;
     declareRun(app, raw);
