--- a/Utilities/jujubectl/ConfigShow.cpp
+++ b/Utilities/jujubectl/ConfigShow.cpp
@@ -35,8 +35,9 @@
                version.publisher, sourceText(version)});
     table.print(context.out);
     if (!history.isAnchored())
-        context.err << "the log holds no complete copy of the configuration; see the status of the "
-                       "instances\n";
+        context.err
+            << "the log contains no usable copy of the configuration; the instances may have "
+               "one\n";
     if (history.isHalted())
         context.err << "the log continues in a newer format than this program supports\n";
 }
