--- a/Meta/bench.sh
+++ b/Meta/bench.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Runs every scenario and the benchmark of the placement decision, then prints one row per target.
-# Options are passed on to jujubebench; --quick runs only the short, deterministic scenarios.
+# Options are passed on to jujubebench; --quick runs only the short scenarios, with equal results on every run.
 # Exits with 1 if a target is missed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
