--- a/Tests/Processes/TestPoison.cpp
+++ b/Tests/Processes/TestPoison.cpp
@@ -4,12 +4,12 @@
 
 using namespace Processes;
 
-TEST_CASE("a request that crashes every engine costs few of them, however often it is resent")
+TEST_CASE("a request that crashes engines reaches only a few, however often it is resent")
 {
     constexpr int Engines = 8;
     constexpr int Resends = 10;
-    // What one digest may cost the fleet (LibAdmission's crash limit), and one more for each
-    // sibling that has not yet heard of the last crash.
+    // The number of engines that one digest may crash (LibAdmission's crash limit), plus one for
+    // each sibling that has not yet received the report of the last crash.
     constexpr int CrashLimit = 3;
     constexpr int Routers = 2;
     Fleet fleet;
--- a/Tests/Processes/TestStreams.cpp
+++ b/Tests/Processes/TestStreams.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t Streams = 12;
 constexpr std::size_t Tokens = 60;
 
-/// A router before engines that take about half a second for an answer.
+/// A router in front of engines that take about half a second per answer.
 struct StreamFleet : Fleet
 {
     explicit StreamFleet(std::size_t engines, const std::string &decodeTime = "8000")
@@ -27,7 +27,7 @@
         awaitUpstreams({"router"}, engines);
     }
 
-    /// What an engine answers to the prompt when nothing fails.
+    /// Returns an engine's answer to the prompt when no fault is injected.
     std::string expected(const std::string &prompt)
     {
         auto request = completionRequest("", "model", prompt, Tokens, false);
@@ -64,7 +64,7 @@
         await(engine + " runs streams", [&] { return running(engine) > 0; });
     }
 
-    /// Waits until the router has every stream under way at an engine.
+    /// Waits until every stream of the router is in progress at an engine.
     void awaitAllRunning()
     {
         await("all streams run", [this] {
@@ -76,7 +76,7 @@
         });
     }
 
-    /// Waits until the engine has sent so many tokens that one of its streams is in its middle.
+    /// Waits until the engine has sent enough tokens that one of its streams is in mid-answer.
     void awaitMidStream(const std::string &engine)
     {
         awaitAllRunning();
@@ -86,13 +86,13 @@
         });
     }
 
-    void checkAllWhole(std::vector<std::future<std::string>> &bodies)
+    void checkAllComplete(std::vector<std::future<std::string>> &bodies)
     {
         std::vector<std::string> answers;
         answers.reserve(Streams);
         for (auto &body : bodies)
             answers.push_back(body.get());
-        // The streams are over, so that what was expected need not come as slowly.
+        // The streams have ended, so the expected answer may be generated at full speed.
         json(node("engine-2").address, "/control", R"({"decode_us":100})");
         for (std::size_t n = 0; n < Streams; ++n) {
             const auto &body = answers[n];
@@ -112,23 +112,23 @@
 
 } // namespace
 
-TEST_CASE("streams of an engine that crashes go on elsewhere without a gap or a repeat")
+TEST_CASE("streams of an engine that crashes continue on another without a gap or a repeat")
 {
     StreamFleet fleet(2, "30000");
     auto bodies = fleet.startStreams();
     fleet.awaitMidStream("engine-1");
     fleet.json(fleet.node("engine-1").address, "/control", R"({"crash":true})");
-    fleet.checkAllWhole(bodies);
+    fleet.checkAllComplete(bodies);
     CHECK(fleet.resumed() > 0);
 }
 
-TEST_CASE("streams of an engine that freezes go on elsewhere without a gap or a repeat")
+TEST_CASE("streams of an engine that freezes continue on another without a gap or a repeat")
 {
     StreamFleet fleet(2, "30000");
     auto bodies = fleet.startStreams();
     fleet.awaitMidStream("engine-1");
     fleet.node("engine-1").process->signal(SIGSTOP);
-    fleet.checkAllWhole(bodies);
+    fleet.checkAllComplete(bodies);
     CHECK(fleet.resumed() > 0);
 }
 
@@ -137,10 +137,10 @@
     StreamFleet fleet(2);
     fleet.json(fleet.node("engine-1").address, "/control", R"({"cross_answers":true})");
     auto bodies = fleet.startStreams();
-    fleet.checkAllWhole(bodies);
+    fleet.checkAllComplete(bodies);
 }
 
-TEST_CASE("a stream that cannot go on ends with an explicit error event")
+TEST_CASE("a stream that cannot be continued ends with an explicit error event")
 {
     StreamFleet fleet(1);
     fleet.json(fleet.node("engine-1").address, "/control", R"({"cut_after_tokens":5})");
@@ -152,7 +152,7 @@
     CHECK(answer.body.find("[DONE]") == std::string::npos);
 }
 
-TEST_CASE("work of a caller that goes away is cancelled at the engine")
+TEST_CASE("the request of a caller that disconnects is cancelled at the engine")
 {
     StreamFleet fleet(1);
     {
@@ -173,10 +173,10 @@
     CHECK(report.at("cancelled").to_number<int>() == 1);
 }
 
-TEST_CASE("a shutdown under load cuts no request, and the refusals say that nothing ran")
+TEST_CASE("a shutdown under load interrupts no request, and refusals state that nothing ran")
 {
-    // Slow enough that every stream has begun before the first one ends: one that came after the
-    // signal would rightly be refused.
+    // Slow enough that every stream has begun before the first one ends: a request that arrives
+    // after the signal is refused by design.
     StreamFleet fleet(2, "60000");
     auto bodies = fleet.startStreams();
     fleet.awaitAllRunning();
@@ -187,13 +187,13 @@
         return answer.status == 503 && answer.body.find(R"("kind":"draining")") != std::string::npos
                && answer.body.find(R"("attempt":"not_run")") != std::string::npos;
     });
-    fleet.checkAllWhole(bodies);
+    fleet.checkAllComplete(bodies);
     const auto line = fleet.node("router").process->awaitLine("process_stopped");
     CHECK(line.find("\"cut_requests\":\"0\"") != std::string::npos);
     CHECK(fleet.node("router").process->wait() == 0);
 }
 
-TEST_CASE("a leaving upstream gets no new work, though the list is frozen")
+TEST_CASE("a leaving upstream gets no new work, even if the instance list is stale")
 {
     StreamFleet fleet(2);
     fleet.json(fleet.platform().address, "/control/faults", R"({"list_frozen":true})");
@@ -211,7 +211,7 @@
     CHECK(served() == before);
 }
 
-TEST_CASE("an engine in the middle of long answers is not taken for one that makes no progress")
+TEST_CASE("an engine that generates long answers is not mistaken for a stalled one")
 {
     StreamFleet fleet(1, "30000");
     Fleet::await("the router has heard from the engine itself", [&] {
--- a/Utilities/jujubectl/ConfigShow.cpp
+++ b/Utilities/jujubectl/ConfigShow.cpp
@@ -35,9 +35,11 @@
                version.publisher, sourceText(version)});
     table.print(context.out);
     if (!history.isAnchored())
-        context.err << "the log holds no copy to go on from; the instances may know more\n";
+        context.err
+            << "the log contains no usable copy of the configuration; the instances may have "
+               "one\n";
     if (history.isHalted())
-        context.err << "the log goes on with a newer format than this program knows\n";
+        context.err << "the log continues in a newer format than this program supports\n";
 }
 
 } // namespace
--- a/Utilities/jujubectl/main.cpp
+++ b/Utilities/jujubectl/main.cpp
@@ -16,12 +16,12 @@
 
 using namespace Jujubectl;
 
-/// No single call takes longer, so that a silent instance does not use up the whole time.
-constexpr std::chrono::milliseconds LongestCall {2'000};
+/// Limits each call, so that an unresponsive instance does not use up the whole timeout.
+constexpr std::chrono::milliseconds MaxCallDuration {2'000};
 
 int run(const Settings &settings)
 {
-    const auto callLimit = std::min(settings.timeout, LongestCall);
+    const auto callLimit = std::min(settings.timeout, MaxCallDuration);
     std::unique_ptr<Platform::HttpLogService> log;
     std::unique_ptr<Platform::HttpInstanceDirectory> directory;
     if (settings.platform) {
