--- a/Tests/jujubectl/TestCommands.cpp
+++ b/Tests/jujubectl/TestCommands.cpp
@@ -169,14 +169,14 @@
     CHECK(fixture.printed("no_such_field"));
     CHECK(fixture.run(CommandKind::ConfigShow) == ExitCode::Success);
     CHECK(fixture.printed("tester"));
-    fixture.service.isOut = true;
+    fixture.service.isUnavailable = true;
     CHECK(fixture.publish(sampleDocument(4)) == ExitCode::Unavailable);
 }
 
 TEST_CASE("an unanswered publication is reported as neither accepted nor refused")
 {
     Fixture fixture;
-    fixture.service.lateAppends = 100;
+    fixture.service.delayedAppendPercent = 100;
     CHECK(fixture.publish(sampleDocument(1)) == ExitCode::OutcomeUnknown);
 }
 
