--- a/Tests/Processes/TestConfigurationInForce.cpp
+++ b/Tests/Processes/TestConfigurationInForce.cpp
@@ -15,14 +15,14 @@
 
 } // namespace
 
-TEST_CASE("an instance that starts while the log is out takes the document from a sibling")
+TEST_CASE("an instance that starts during a log outage gets the document from a sibling")
 {
     Fleet fleet;
     fleet.startEngine("engine-1", "engines");
     fleet.startDaemon("router-1", "a");
     fleet.publish(testDocument(), {"router-1"});
     const auto generation = generationOf(fleet, "router-1");
-    // The list still answers when the newcomer starts; then the platform goes.
+    // The instance list is still available when the new instance starts; then the platform stops.
     auto &newcomer = fleet.startDaemon("router-2", "a");
     fleet.json(fleet.platform().address, "/control/faults", R"({"log_outage":true})");
     Fleet::await("the newcomer is ready",
@@ -33,7 +33,7 @@
     CHECK(answer.status == 200);
 }
 
-TEST_CASE("a running instance serves on through an outage of the whole platform")
+TEST_CASE("a running instance keeps serving during an outage of the whole platform")
 {
     Fleet fleet;
     fleet.startEngine("engine-1", "engines");
@@ -48,7 +48,7 @@
     }
 }
 
-TEST_CASE("a second document replaces the first everywhere, also on an instance that restarts")
+TEST_CASE("a second document replaces the first on every instance, including a restarted one")
 {
     Fleet fleet;
     fleet.startDaemon("router-1", "a");
@@ -58,7 +58,7 @@
     fleet.publish(testDocument("2"), {"router-1", "router-2"});
     CHECK(generationOf(fleet, "router-1") == first + 1);
     CHECK(generationOf(fleet, "router-2") == first + 1);
-    // A restarted instance starts from the log and comes to the same generation.
+    // A restarted instance replays the log and reaches the same generation.
     fleet.node("router-1").process->kill();
     fleet.startDaemon("router-1", "a");
     Fleet::await("the restarted instance has caught up",
--- a/Tests/Processes/TestUsage.cpp
+++ b/Tests/Processes/TestUsage.cpp
@@ -33,7 +33,8 @@
 
 } // namespace
 
-TEST_CASE("the account adds up to the token though append answers are lost and routers end")
+TEST_CASE(
+    "the usage totals are exact to the token although append answers are lost and routers exit")
 {
     constexpr std::size_t Requests = 20;
     constexpr std::size_t Tokens = 7;
@@ -62,6 +63,6 @@
     CHECK(totals.served + totals.idle == totals.capacity);
     CHECK(totals.served > 0);
     CHECK(usage.at("gaps").as_array().empty());
-    // Only the router that still runs has not said that it ended.
+    // Only the router that is still running has not published its shutdown.
     CHECK(usage.at("open").as_array().size() == 1);
 }
--- a/Tests/StandIns/EngineCache.h
+++ b/Tests/StandIns/EngineCache.h
@@ -10,12 +10,12 @@
 
 namespace StandIns {
 
-/// The hashes of a prompt's pieces; each covers all text before it, so that equal hashes mean equal
-/// prefixes. The salt keeps teams and weights apart.
-std::vector<std::uint64_t> chainPieces(std::string_view prompt, std::size_t pieceBytes,
+/// Returns the hashes of a prompt's blocks. Each covers all preceding text, so that equal hashes
+/// mean equal prefixes. The salt separates teams and weights.
+std::vector<std::uint64_t> chainBlocks(std::string_view prompt, std::size_t blockBytes,
                                        std::string_view salt);
 
-/// A prefix cache of limited size that drops what was not used for longest.
+/// A prefix cache of limited size with least-recently-used eviction.
 class EngineCache
 {
 public:
@@ -28,11 +28,11 @@
 
     explicit EngineCache(std::size_t capacity);
 
-    /// Counts the leading pieces that are cached, then stores all of them.
-    std::size_t use(const std::vector<std::uint64_t> &pieces);
+    /// Returns the number of leading blocks that are cached, then stores all blocks.
+    std::size_t use(const std::vector<std::uint64_t> &blocks);
     void clear();
     std::size_t size() const { return m_order.size(); }
-    /// The events from a sequence number on. Every tenth is left out, as lossy streams do.
+    /// Returns the events from a sequence number on. Omits every tenth to simulate a lossy stream.
     std::vector<Event> eventsFrom(std::uint64_t sequence) const;
 
 private:
@@ -40,7 +40,7 @@
 
     std::size_t m_capacity;
     std::list<std::uint64_t> m_order;
-    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_places;
+    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_positions;
     std::vector<Event> m_events;
 };
 
--- a/Tests/StandIns/EngineStandIn.h
+++ b/Tests/StandIns/EngineStandIn.h
@@ -13,18 +13,18 @@
 
 namespace StandIns {
 
-/// What the engine stand-in can do and how fast it is.
+/// The capabilities and the speed of the engine stand-in.
 struct EngineSettings
 {
     std::size_t slots = 8;
     std::size_t cacheBlocks = 1000;
-    std::size_t pieceBytes = 8000;
+    std::size_t blockBytes = 8000;
     std::chrono::microseconds prefillPerKilobyte {50};
     std::chrono::microseconds decodePerToken {1000};
     std::chrono::milliseconds loadTime {200};
     std::chrono::milliseconds reportLag {50};
     std::string weightsVersion = "1";
-    /// Whether an order with an old fencing number is refused.
+    /// Whether an order with a stale fencing token is refused.
     bool checksFencing = false;
     /// A prompt that contains this text crashes the engine; empty for none.
     std::string poisonMarker;
@@ -69,12 +69,12 @@
     EngineSettings m_settings;
     EngineCache m_cache;
     std::size_t m_running = 0;
-    /// Waiting requests, the most urgent first and the oldest first among equals.
+    /// Waiting requests, the most urgent first, in order of arrival within a priority.
     std::multimap<long long, std::shared_ptr<boost::asio::steady_timer>> m_waiting;
     std::uint64_t m_incarnation;
     std::uint64_t m_fencing = 0;
     std::size_t m_loading = 0;
-    std::size_t m_mostLoading = 0;
+    std::size_t m_maxLoading = 0;
     bool m_frozen = false;
     bool m_draining = false;
     std::size_t m_crashes = 0;
--- a/Tests/StandIns/PlatformStandIn.h
+++ b/Tests/StandIns/PlatformStandIn.h
@@ -23,7 +23,7 @@
     boost::asio::awaitable<void> handle(Http::ServerExchange &exchange);
 
 private:
-    /// A list as it stood from a time on.
+    /// A version of the instance list and the time from which it was valid.
     struct ListVersion
     {
         Core::Clock::Monotonic since;
@@ -51,7 +51,7 @@
     std::deque<ListVersion> m_lists;
     std::chrono::milliseconds m_listLag {0};
     bool m_listFrozen = false;
-    Core::Clock::Monotonic m_weightStoreFree;
+    Core::Clock::Monotonic m_weightStoreFreeAt;
     std::chrono::milliseconds m_weightTime {100};
 };
 
--- a/Utilities/jujubebench/BaselinePolicies.cpp
+++ b/Utilities/jujubebench/BaselinePolicies.cpp
@@ -58,7 +58,8 @@
     std::vector<std::size_t> m_next;
 };
 
-/// Fewest requests by the last report and the instance's own sends since; ties at random.
+/// Chooses the engine with the fewest requests according to its last load report and the instance's
+/// own requests since; breaks ties at random.
 class LeastLoadedPolicy final : public Policy
 {
 public:
@@ -94,7 +95,7 @@
     std::vector<std::vector<std::size_t>> m_loads;
 };
 
-/// Plain consistent hashing (rendezvous) of one block of the prompt.
+/// Places by rendezvous hashing of one block of the prompt.
 class HashPolicy final : public Policy
 {
 public:
@@ -111,15 +112,16 @@
     bool m_isRoot;
 };
 
-/// Least time to first token by perfect knowledge of caches and load. With a home preference it
-/// weighs missed tokens double, since storing them evicts others, and breaks ties by rendezvous.
+/// Chooses the least time to first token from the actual state of caches and queues. With upstream
+/// affinity it counts missed tokens twice, since storing them evicts others, and breaks ties by
+/// rendezvous hashing.
 class OraclePolicy final : public Policy
 {
 public:
-    OraclePolicy(const PolicyContext &context, bool prefersHome)
+    OraclePolicy(const PolicyContext &context, bool usesAffinity)
         : m_engines(*context.engines)
         , m_rng(context.seed)
-        , m_prefersHome(prefersHome)
+        , m_usesAffinity(usesAffinity)
     { }
     std::size_t choose(std::size_t, const WorkItem &item,
                        std::span<const std::size_t> candidates) override
@@ -130,7 +132,7 @@
         for (const auto candidate : candidates) {
             const auto cost = expectedCost(item, *m_engines[candidate]);
             const auto tie =
-                m_prefersHome ? rendezvousHash(item.blocks.back(), candidate) : m_rng();
+                m_usesAffinity ? rendezvousHash(item.blocks.back(), candidate) : m_rng();
             if (cost > bestCost || (cost == bestCost && tie < bestTie))
                 continue;
             best = candidate;
@@ -150,7 +152,7 @@
         const auto load = engine.load();
         const auto cached = engine.cache().match(item.blocks);
         const auto missed = static_cast<double>((item.blocks.size() - cached) * BlockTokens);
-        const double weight = m_prefersHome ? 2 : 1;
+        const double weight = m_usesAffinity ? 2 : 1;
         double cost = (static_cast<double>(load.pendingPrefillTokens) + missed * weight)
                       / settings.prefillTokensPerSecond;
         if (load.running + load.queued >= settings.slots)
@@ -161,7 +163,7 @@
 
     const std::vector<std::unique_ptr<FakeEngine>> &m_engines;
     std::mt19937_64 m_rng;
-    bool m_prefersHome;
+    bool m_usesAffinity;
 };
 
 } // namespace
--- a/Utilities/jujubebench/OurPolicy.cpp
+++ b/Utilities/jujubebench/PlacementPolicy.cpp
@@ -1,4 +1,4 @@
-#include "OurPolicy.h"
+#include "PlacementPolicy.h"
 
 #include <LibCore/Error.h>
 #include <LibPlacement/Placement.h>
@@ -15,19 +15,20 @@
 using Placement::PromptBlocks;
 using Placement::UpstreamSlot;
 
-/// Settings of the library and of what its caller does.
-struct OurSettings : PlacementSettings
+/// Settings of LibPlacement and of its caller.
+struct PlacementPolicySettings : PlacementSettings
 {
-    // Several times the blocks that all engines hold, and quick to search at each exchange.
-    OurSettings() { prefixIndexCapacity = 8192; }
+    // Several times the number of blocks that all engines cache, and still fast to search at each
+    // exchange.
+    PlacementPolicySettings() { prefixIndexCapacity = 8192; }
     bool exchanges = true;
 };
 
-/// A name of our policy and how its settings differ.
+/// Names a variant of the LibPlacement policy and the changes to its settings.
 struct Variant
 {
     std::string name;
-    std::function<void(OurSettings &)> apply;
+    std::function<void(PlacementPolicySettings &)> apply;
 };
 
 const std::vector<Variant> &variants()
@@ -46,7 +47,7 @@
     return all;
 }
 
-/// A number of the settings by its name.
+/// Names a numeric setting.
 struct NamedSetting
 {
     std::string_view name;
@@ -61,7 +62,8 @@
     NamedSetting {"nearEqualShare", &PlacementSettings::nearEqualShare},
 };
 
-/// Sets the number that the text names. Throws Core::Error(SettingsInvalid) if it names none.
+/// Sets the numeric setting given as name=value. Throws Core::Error(SettingsInvalid) for an unknown
+/// name.
 void applyOverride(PlacementSettings &settings, const std::string &text)
 {
     const auto split = text.find('=');
@@ -73,22 +75,22 @@
     settings.*(it->member) = std::stod(text.substr(split + 1));
 }
 
-/// What one instance knows.
+/// State of one instance.
 struct Instance
 {
     std::unique_ptr<Placement::Placement> placement;
     std::unordered_map<std::uint64_t, Placement::Decision> decisions;
 };
 
-/// Prefixes handed to a sibling that starts, and to one that is up at each exchange.
-constexpr std::size_t HandedPrefixes = 2000;
+/// Numbers of prefixes sent to a starting sibling, and to a running sibling at each exchange.
+constexpr std::size_t TransferredPrefixes = 2000;
 constexpr std::size_t ExchangedPrefixes = 64;
 
-/// LibPlacement as the daemon would call it, one object an instance.
-class OurPolicy final : public Policy
+/// Calls LibPlacement as the daemon does, with one object per instance.
+class PlacementPolicy final : public Policy
 {
 public:
-    OurPolicy(const PolicyContext &context, const OurSettings &settings)
+    PlacementPolicy(const PolicyContext &context, const PlacementPolicySettings &settings)
         : m_context(context)
         , m_settings(settings)
         , m_rng(context.seed)
@@ -164,19 +166,19 @@
     {
         if (!m_settings.exchanges)
             return;
-        const auto hot =
+        const auto frequentPrefixes =
             m_instances[index].placement->exportFrequentPrefixes(ExchangedPrefixes, within);
         for (const auto sibling : siblings)
-            m_instances[sibling].placement->importFrequentPrefixes(hot);
+            m_instances[sibling].placement->importFrequentPrefixes(frequentPrefixes);
     }
     void restarted(std::size_t index, std::optional<std::size_t> sibling) override
     {
         auto &instance = m_instances[index];
         start(instance);
         if (sibling) {
-            const auto hot =
-                m_instances[*sibling].placement->exportFrequentPrefixes(HandedPrefixes);
-            instance.placement->importFrequentPrefixes(hot);
+            const auto frequentPrefixes =
+                m_instances[*sibling].placement->exportFrequentPrefixes(TransferredPrefixes);
+            instance.placement->importFrequentPrefixes(frequentPrefixes);
         }
     }
 
@@ -193,47 +195,47 @@
                 static_cast<std::uint32_t>(settings.slots)};
     }
 
-    /// Starts the instance with nothing but the list of upstreams.
+    /// Starts the instance with only the list of upstreams.
     void start(Instance &instance)
     {
         instance.decisions.clear();
         instance.placement =
             std::make_unique<Placement::Placement>(m_context.queue->clock(), m_settings);
         instance.placement->noteInstanceCount(m_instances.size());
-        // Connecting to an upstream, which comes before any send, tells its incarnation.
+        // Connecting to an upstream, which precedes any request, reveals its incarnation.
         for (std::size_t i = 0; i < m_context.engines->size(); ++i)
             instance.placement->noteUpstream(viewOf(i, (*m_context.engines)[i]->incarnation()));
     }
 
     PolicyContext m_context;
-    OurSettings m_settings;
+    PlacementPolicySettings m_settings;
     std::mt19937_64 m_rng;
     std::vector<Instance> m_instances;
 };
 
 } // namespace
 
-std::unique_ptr<Policy> makeOurPolicy(const std::string &name, const PolicyContext &context)
+std::unique_ptr<Policy> makePlacementPolicy(const std::string &name, const PolicyContext &context)
 {
     const auto it = std::find_if(variants().begin(), variants().end(),
                                  [&](const auto &variant) { return variant.name == name; });
     if (it == variants().end())
         return nullptr;
-    OurSettings settings;
+    PlacementPolicySettings settings;
     for (const auto &text : context.overrides)
         applyOverride(settings, text);
     it->apply(settings);
-    return std::make_unique<OurPolicy>(context, settings);
+    return std::make_unique<PlacementPolicy>(context, settings);
 }
 
 std::span<const std::string> ablationPolicies()
 {
     static const std::vector<std::string> names = [] {
-        std::vector<std::string> without;
+        std::vector<std::string> ablations;
         for (const auto &variant : variants())
-            without.push_back(variant.name);
-        without.erase(without.begin());
-        return without;
+            ablations.push_back(variant.name);
+        ablations.erase(ablations.begin());
+        return ablations;
     }();
     return names;
 }
